--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -15,25 +15,25 @@
 
 /// Crashes of the worker that are kept. A worker is away for seconds after each, and
 /// gateways remember crashes for a minute.
-const MOST_CRASHES: usize = 16;
+const MAX_CRASHES: usize = 16;
 
 /// A crash within this part of a run's estimate is early, and so is any within
 /// [`SURELY_EARLY`], the time in which agents notice.
-const EARLY_PART: u64 = 16;
-const SURELY_EARLY: Span = Span::from_millis(25);
+const EARLY_ESTIMATE_DIVISOR: u64 = 16;
+const MIN_EARLY_AGE: Span = Span::from_millis(25);
 
 /// The last crashes, each with a number that rises from 1.
 #[derive(Debug, Default)]
-pub struct CrashMemory {
+pub struct CrashHistory {
     crashes: VecDeque<WorkerCrash>,
     last: u64,
 }
 
-impl CrashMemory {
+impl CrashHistory {
     fn add(&mut self, crash: WorkerCrash) {
         self.crashes.push_back(crash);
         self.last += 1;
-        if self.crashes.len() > MOST_CRASHES {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.pop_front();
         }
     }
@@ -57,14 +57,16 @@
     if run.is_unconfirmed() {
         return false;
     }
-    let bound = Span(run.estimate.0 / EARLY_PART).0.max(SURELY_EARLY.0);
+    let bound = Span(run.estimate.0 / EARLY_ESTIMATE_DIVISOR)
+        .0
+        .max(MIN_EARLY_AGE.0);
     age.0 <= bound
 }
 
 impl LeasedAgent {
     /// Notes how a life has ended that had begun `tasks`. It has crashed unless the worker
     /// had said that it leaves: then its tasks have nothing to do with it.
-    pub(super) fn note_life_end(
+    pub(super) fn record_crash(
         &mut self,
         life: &LifeName,
         was_draining: bool,
@@ -73,7 +75,7 @@
     ) {
         let has_crashed = end != LifeEnd::Deregistered && !was_draining;
         if has_crashed && !tasks.is_empty() {
-            self.crash_memory.add(WorkerCrash {
+            self.crash_history.add(WorkerCrash {
                 life: life.to_string(),
                 runs: u32::try_from(tasks.len()).unwrap_or(u32::MAX),
                 tasks,
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -4,14 +4,14 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::lease::lease_over_at;
+use super::lease::lease_expired_at;
 use super::ledger::StopReason;
-use super::life::Life;
+use super::life::WorkerState;
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd};
 
 /// How long the answer to a deregistration is held back until what runs there has been stopped. The
 /// worker takes an answer within a second for an answer.
-const DEREGISTRATION_PATIENCE: Span = Span::from_millis(800);
+const DEREGISTRATION_ANSWER_TIMEOUT: Span = Span::from_millis(800);
 
 /// A deregistration under the id of the worker's present life.
 #[derive(Clone, Copy, Debug)]
@@ -25,13 +25,13 @@
 
 impl Deregistration {
     /// When the lease of its life is over, which is renewed no more.
-    fn lease_over(&self, renewed: Timestamp) -> Timestamp {
-        lease_over_at(renewed.max(self.since))
+    fn expires_at(&self, renewed: Timestamp) -> Timestamp {
+        lease_expired_at(renewed.max(self.since))
     }
 
     /// When it is answered at the latest, unless it has been.
     fn answer_due(&self) -> Option<Timestamp> {
-        (!self.is_answered).then(|| self.since.after(DEREGISTRATION_PATIENCE))
+        (!self.is_answered).then(|| self.since.after(DEREGISTRATION_ANSWER_TIMEOUT))
     }
 
     /// Answers it, unless it has been.
@@ -42,7 +42,7 @@
     }
 }
 
-impl Life {
+impl WorkerState {
     /// Whether it has said that it ends.
     pub fn has_deregistered(&self) -> bool {
         let deregistration = self.deregistration.as_ref();
@@ -64,13 +64,13 @@
         id: &Arc<str>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(life) = self.life.as_mut().filter(|life| life.name.id == *id) else {
+        let Some(worker) = self.worker.as_mut().filter(|worker| worker.name.id == *id) else {
             effects.push(AgentEffect::AnswerDeregistration(Arc::clone(id)));
-            self.past_lives.note_deregistered_id(now, id);
+            self.past_incarnations.note_deregistered_id(now, id);
             return;
         };
-        let is_confirmed = life.draining || !life.name.may_return();
-        life.deregistration.get_or_insert(Deregistration {
+        let is_confirmed = worker.draining || !worker.name.may_return();
+        worker.deregistration.get_or_insert(Deregistration {
             since: now,
             is_answered: false,
             is_confirmed,
@@ -82,34 +82,34 @@
 
     /// The present life leaves: what runs there is stopped.
     fn confirm_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        if let Some(deregistration) = &mut life.deregistration {
+        if let Some(deregistration) = &mut worker.deregistration {
             deregistration.is_confirmed = true;
         }
-        life.watch_from = now;
-        if !life.draining {
-            life.draining = true;
-            self.remember(now, effects);
+        worker.watch_from = now;
+        if !worker.draining {
+            worker.draining = true;
+            self.persist_record(now, effects);
         }
-        for task in self.ledger.tasks_where(|_| true) {
+        for task in self.runs.tasks_where(|_| true) {
             self.stop_run(now, task, StopReason::WorkerLeaves, effects);
         }
     }
 
     /// The present life says, in a heartbeat that is not late, whether it drains: so it tells whose
     /// a deregistration was that came before.
-    pub(super) fn judge_deregistration(
+    pub(super) fn resolve_deregistration(
         &mut self,
         now: Timestamp,
         is_draining: bool,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let Some(deregistration) = &mut life.deregistration else {
+        let Some(deregistration) = &mut worker.deregistration else {
             return;
         };
         if deregistration.is_confirmed {
@@ -119,9 +119,9 @@
             self.confirm_deregistration(now, effects);
             return;
         }
-        deregistration.answer(&life.name.id, effects);
-        life.deregistration = None;
-        let life = life.name.clone();
+        deregistration.answer(&worker.name.id, effects);
+        worker.deregistration = None;
+        let life = worker.name.clone();
         effects.push(AgentEffect::Decided(AgentDecision::LateDeregistration {
             life,
         }));
@@ -129,32 +129,32 @@
 
     /// Answers a deregistration, and ends the life, once nothing runs there.
     pub(super) fn finish_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let Some(deregistration) = &mut life.deregistration else {
+        let Some(deregistration) = &mut worker.deregistration else {
             return;
         };
-        let has_lapsed = now >= deregistration.lease_over(life.renewed);
-        let is_listed_empty = life.has_synced && life.foreign.is_empty();
-        let is_empty = self.ledger.is_empty() && (is_listed_empty || has_lapsed);
+        let has_expired = now >= deregistration.expires_at(worker.renewed);
+        let is_listed_empty = worker.has_synced && worker.orphans.is_empty();
+        let is_empty = self.runs.is_empty() && (is_listed_empty || has_expired);
         let is_over = deregistration.is_confirmed && is_empty;
         let is_due = deregistration.answer_due().is_some_and(|due| now >= due);
         if !is_over && !is_due {
             return;
         }
-        deregistration.answer(&life.name.id, effects);
+        deregistration.answer(&worker.name.id, effects);
         if is_over {
-            let name = life.name.clone();
-            self.on_life_over(now, &name, LifeEnd::Deregistered, effects);
+            let name = worker.name.clone();
+            self.on_incarnation_ended(now, &name, LifeEnd::Deregistered, effects);
         }
     }
 
     /// When [`Self::finish_deregistration`] has something to do, if nothing happens before.
     pub(super) fn deregistration_wakeup(&self) -> Option<Timestamp> {
-        let life = self.life.as_ref()?;
-        let deregistration = life.deregistration?;
-        let lapse = deregistration.lease_over(life.renewed);
+        let worker = self.worker.as_ref()?;
+        let deregistration = worker.deregistration?;
+        let lapse = deregistration.expires_at(worker.renewed);
         let lapse = deregistration.is_confirmed.then_some(lapse);
         deregistration.answer_due().into_iter().chain(lapse).min()
     }
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -16,26 +16,26 @@
 use super::super::task::JobId;
 
 /// Failures in a row that put a worker on probation.
-const FAILURES: u32 = 3;
+const PROBATION_FAILURES: u32 = 3;
 /// Failures in a row after which a failure says little of its task.
 const SUSPECT_FAILURES: u32 = 2;
 /// First pause without work; it doubles with each probe that fails.
-const FIRST_PAUSE: Span = Span::from_millis(400);
+const INITIAL_PROBATION: Span = Span::from_millis(400);
 /// Longest pause without work.
-const LONGEST_PAUSE: Span = Span::from_millis(1_600);
+const MAX_PROBATION: Span = Span::from_millis(1_600);
 /// Weight of a new sample of the pace.
-const PACE_WEIGHT: f64 = 0.08;
+const PACE_SAMPLE_WEIGHT: f64 = 0.08;
 /// Pace beyond which a worker is called slow.
-const SLOW_PACE: f64 = 2.0;
+const SLOW_PACE_THRESHOLD: f64 = 2.0;
 /// A slow worker's pace is halved towards 1 after so long without a sample, so
 /// that it is tried again.
 const PACE_HALF_LIFE: Span = Span::from_millis(1_000);
 /// Bounds of a sample of the pace.
 const PACE_BOUNDS: (f64, f64) = (0.2, 20.0);
 /// How long a task that was done at a normal pace proves that its worker is not slow.
-const NORMAL_END_AGE: Span = Span::from_millis(150);
+const NORMAL_RUN_WINDOW: Span = Span::from_millis(150);
 /// Most such tasks that are remembered.
-const MOST_NORMAL_ENDS: usize = 8;
+const MAX_NORMAL_RUNS: usize = 8;
 
 /// A task that is done.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
 
 /// A task that was done at a normal pace.
 #[derive(Clone, Copy, Debug)]
-struct NormalEnd {
+struct NormalRun {
     job: JobId,
     sent: Timestamp,
     ended: Timestamp,
@@ -65,7 +65,7 @@
     probation: Option<Probation>,
     pace: f64,
     sampled: Timestamp,
-    normal_ends: VecDeque<NormalEnd>,
+    normal_runs: VecDeque<NormalRun>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -81,7 +81,7 @@
             probation: None,
             pace: 1.0,
             sampled: Timestamp::default(),
-            normal_ends: VecDeque::new(),
+            normal_runs: VecDeque::new(),
         }
     }
 }
@@ -95,23 +95,23 @@
             return;
         }
         let sample = ratio(run.elapsed, run.estimate).clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
-        if sample <= SLOW_PACE {
-            self.note_normal_end(now, run);
+        if sample <= SLOW_PACE_THRESHOLD {
+            self.record_normal_run(now, run);
         }
-        let weight = if self.pace > SLOW_PACE && sample < self.pace {
+        let weight = if self.pace > SLOW_PACE_THRESHOLD && sample < self.pace {
             0.5
         } else {
-            PACE_WEIGHT
+            PACE_SAMPLE_WEIGHT
         };
         self.pace += weight * (sample - self.pace);
         self.sampled = now;
     }
 
-    fn note_normal_end(&mut self, now: Timestamp, run: &FinishedRun) {
-        if self.normal_ends.len() == MOST_NORMAL_ENDS {
-            self.normal_ends.pop_front();
+    fn record_normal_run(&mut self, now: Timestamp, run: &FinishedRun) {
+        if self.normal_runs.len() == MAX_NORMAL_RUNS {
+            self.normal_runs.pop_front();
         }
-        self.normal_ends.push_back(NormalEnd {
+        self.normal_runs.push_back(NormalRun {
             job: run.job,
             sent: run.sent,
             ended: now,
@@ -122,23 +122,23 @@
     /// done at a normal pace lately: a task of `job` that crawls does so by its
     /// own fault.
     pub fn has_normal_pace_since(&self, now: Timestamp, job: JobId, sent: Timestamp) -> bool {
-        self.normal_ends
-            .iter()
-            .any(|end| end.job != job && end.sent >= sent && now.since(end.ended) <= NORMAL_END_AGE)
+        self.normal_runs.iter().any(|end| {
+            end.job != job && end.sent >= sent && now.since(end.ended) <= NORMAL_RUN_WINDOW
+        })
     }
 
     /// A task failed.
     pub fn on_failed(&mut self, now: Timestamp) {
         self.failures += 1;
-        if self.failures >= FAILURES || self.probation.is_some() {
-            self.suspend(now);
+        if self.failures >= PROBATION_FAILURES || self.probation.is_some() {
+            self.start_probation(now);
         }
     }
 
     /// A task stood still.
     pub fn on_stalled(&mut self, now: Timestamp) {
         self.failures += 1;
-        self.suspend(now);
+        self.start_probation(now);
     }
 
     /// A task is so slow that it would take `projected` where `estimate` was
@@ -178,7 +178,7 @@
     )]
     pub fn pace_percent(&self, now: Timestamp) -> u32 {
         let mut pace = self.pace;
-        if pace > SLOW_PACE {
+        if pace > SLOW_PACE_THRESHOLD {
             let periods = now.since(self.sampled).0 / PACE_HALF_LIFE.0;
             for _ in 0..periods.min(8) {
                 pace = 1.0 + (pace - 1.0) / 2.0;
@@ -187,12 +187,12 @@
         (pace * 100.0) as u32
     }
 
-    fn suspend(&mut self, now: Timestamp) {
+    fn start_probation(&mut self, now: Timestamp) {
         let pause = match self.probation {
             // Several tasks of one moment count once.
             Some(probation) if now < probation.until => return,
-            Some(probation) => Span((probation.pause.0 * 2).min(LONGEST_PAUSE.0)),
-            None => FIRST_PAUSE,
+            Some(probation) => Span((probation.pause.0 * 2).min(MAX_PROBATION.0)),
+            None => INITIAL_PROBATION,
         };
         self.probation = Some(Probation {
             pause,
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -5,11 +5,11 @@
 use super::super::timing::{LEASE, LEASE_AT_MOST, OWNER_SILENCE, STOP_AT_MOST};
 use super::LeasedAgent;
 use super::ledger::{Run, RunState};
-use super::life::Life;
+use super::life::WorkerState;
 use super::worker::WorkerClock;
 
 /// When everything is over at a worker whose lease was last renewed at `renewed`.
-pub fn lease_over_at(renewed: Timestamp) -> Timestamp {
+pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
     renewed.after(Span(LEASE_AT_MOST.0 + STOP_AT_MOST.0 + 1))
 }
 
@@ -17,11 +17,11 @@
     /// Renews the lease at `now`: its end, on the worker's clock.
     pub(super) fn renew(&mut self, now: Timestamp) -> WorkerClock {
         let renewed = now.min(self.renewable_until());
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return WorkerClock::default();
         };
-        life.renewed = life.renewed.max(renewed);
-        life.lease_until(renewed)
+        worker.renewed = worker.renewed.max(renewed);
+        worker.lease_until(renewed)
     }
 
     /// Until when the lease may be renewed: for as long as somebody answers for every run.
@@ -31,7 +31,7 @@
     /// [`super::super::timing::LAPSE_AFTER_SILENCE`] while the others' renewals kept it alive.
     /// A stop takes 50 ms of the 700 ms that a lease lasts, so the others notice nothing.
     fn renewable_until(&self) -> Timestamp {
-        let runs = self.ledger.iter().map(|(_, run)| run);
+        let runs = self.runs.iter().map(|(_, run)| run);
         let ends = runs
             .filter(|run| run.takes_room())
             .map(|run| self.answered_for_until(run));
@@ -51,13 +51,13 @@
 
     /// Notes whether a stop takes so long that the lease may run out over it: nothing more is
     /// started there until it is proved.
-    pub(super) fn note_overdue_stops(&mut self, now: Timestamp) {
-        let mut runs = self.ledger.iter();
+    pub(super) fn check_overdue_stops(&mut self, now: Timestamp) {
+        let mut runs = self.runs.iter();
         self.has_overdue_stop = runs.any(|(_, run)| run.is_stop_overdue(now));
     }
 }
 
-impl Life {
+impl WorkerState {
     /// End of a lease that is renewed at `now`.
     fn lease_until(&self, now: Timestamp) -> WorkerClock {
         WorkerClock(self.clock.at_least(now).0 + LEASE.as_millis())
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -11,14 +11,14 @@
 use super::super::room::Room;
 use super::super::task::{RunId, RunNumber, TaskId};
 use super::super::timing::STOP_AT_MOST;
-use super::life::LifeNumber;
+use super::life::IncarnationNumber;
 use super::worker::WorkerClock;
 
 /// Why a run is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// Its gateway asked.
-    Asked,
+    Requested,
     /// Its gateway is silent, or gone.
     OwnerSilent,
     /// It makes no progress.
@@ -79,17 +79,17 @@
     /// When its start was sent.
     pub sent: Timestamp,
     /// The life to which it was sent.
-    pub life: LifeNumber,
+    pub life: IncarnationNumber,
     /// Whether the worker has shown that it has carried the start out.
     pub is_confirmed: bool,
     /// Where it stands.
     pub state: RunState,
     /// When a stop that got no answer may be sent again.
-    pub stop_again: Option<Timestamp>,
+    pub retry_stop_at: Option<Timestamp>,
     /// Stops that got no answer.
-    pub lost_stops: u32,
+    pub unanswered_stops: u32,
     /// Whether the log was told that they take longer than a stop may.
-    pub is_overdue_told: bool,
+    pub has_logged_overdue_stop: bool,
     /// Whether the worker is to run nothing beside it.
     pub is_alone: bool,
     /// Whether its task has stood still on another worker.
@@ -132,7 +132,7 @@
 
 /// All runs of one worker's life.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct RunTable {
     runs: BTreeMap<TaskId, Run>,
     taken: Room,
     waiting_room: Room,
@@ -140,7 +140,7 @@
     alone: usize,
 }
 
-impl Ledger {
+impl RunTable {
     /// Adds a run. The task must not be here yet.
     pub fn insert(&mut self, task: TaskId, run: Run) {
         self.count(&run, true);
@@ -170,7 +170,7 @@
     }
 
     /// Begins the stop of a run anew, for another life of the worker.
-    pub fn restart_stop(&mut self, task: TaskId, now: Timestamp) {
+    pub fn reset_stop(&mut self, task: TaskId, now: Timestamp) {
         self.note(task, |run| {
             if let RunState::Stopping {
                 since, answered, ..
@@ -178,8 +178,8 @@
             {
                 *since = now;
                 *answered = None;
-                run.stop_again = Some(now);
-                run.lost_stops = 0;
+                run.retry_stop_at = Some(now);
+                run.unanswered_stops = 0;
             }
         });
     }
@@ -217,7 +217,7 @@
     }
 
     /// Whether a run is here that is to be alone.
-    pub fn has_alone(&self) -> bool {
+    pub fn has_exclusive(&self) -> bool {
         self.alone > 0
     }
 
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -10,29 +10,29 @@
 use super::super::task::RunId;
 use super::deregistration::Deregistration;
 use super::health::Health;
-use super::lives::Challenger;
-use super::room_knowledge::RoomKnowledge;
+use super::lives::SuccessorCandidate;
+use super::room_knowledge::CapacityFreshness;
 use super::worker::{ClockEstimate, FenceToken, KnownLife, Registration, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeSource};
 
 /// Number of a life, among those that an agent has followed. Runs are marked with that of the
 /// life to which their starts were sent: the next life may have the same id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LifeNumber(u64);
+pub struct IncarnationNumber(u64);
 
 /// The worker's present life.
 #[derive(Debug)]
-pub struct Life {
+pub struct WorkerState {
     /// Its name.
     pub name: LifeName,
     /// Its number.
-    pub number: LifeNumber,
+    pub number: IncarnationNumber,
     /// How it became known.
     pub source: LifeSource,
     /// The service that it serves.
     pub service: String,
     /// When a heartbeat last named it.
-    pub service_heard: Timestamp,
+    pub service_confirmed_at: Timestamp,
     /// Its room.
     pub capacity: Room,
     /// The least that it has been.
@@ -54,13 +54,13 @@
     /// Highest number of an end that was taken in.
     pub last_seen: u64,
     /// Highest that the latest watch told it of.
-    pub told_seen: u64,
+    pub last_seen_sent: u64,
     /// Highest that it is known to have been told of.
     pub acknowledged: u64,
     /// Lists have come in this life.
     pub has_synced: bool,
     /// Whether the log was told that it is under control.
-    pub told_in_control: bool,
+    pub has_logged_control: bool,
     /// Watches in a row without an answer.
     pub unanswered_watches: u32,
     /// When the watch that is under way was sent.
@@ -71,19 +71,19 @@
     pub renewed: Timestamp,
     /// Runs at the worker that this agent did not start, with the time of the
     /// last stop that was sent.
-    pub foreign: BTreeMap<RunId, Timestamp>,
+    pub orphans: BTreeMap<RunId, Timestamp>,
     /// Ends to be acknowledged to the worker.
-    pub has_news: bool,
+    pub has_pending_watch: bool,
     /// Tasks that it had begun when it fell silent for so long that they have lapsed. It
     /// may have crashed then, or be cut off.
-    pub lapsed: Vec<CrashedTask>,
+    pub expired_tasks: Vec<CrashedTask>,
     /// Another life that has registered since.
-    pub challenger: Option<Challenger>,
+    pub successor: Option<SuccessorCandidate>,
     /// Its word that it ends, once it has said that.
     pub deregistration: Option<Deregistration>,
 }
 
-impl Life {
+impl WorkerState {
     /// Whether it is about to end, as far as it has said: its process may close its door and run
     /// on for a while.
     pub fn is_leaving(&self) -> bool {
@@ -110,32 +110,32 @@
 
 impl LeasedAgent {
     /// A life that the worker itself has told of begins.
-    pub(super) fn begin_registered_life(
+    pub(super) fn start_registered_incarnation(
         &mut self,
         now: Timestamp,
         registration: Registration,
         effects: &mut Vec<AgentEffect>,
     ) {
-        self.begin_life(now, registration, LifeSource::Heartbeat, effects);
+        self.start_incarnation(now, registration, LifeSource::Heartbeat, effects);
         let times = self.options.heartbeats;
-        self.room_knowledge.on_heartbeat(now, times);
-        self.remember(now, effects);
+        self.capacity_freshness.on_heartbeat(now, times);
+        self.persist_record(now, effects);
     }
 
     /// Begins a life of which nothing runs as yet. Runs of before that are still in the ledger
     /// are judged by its lists.
-    pub(super) fn begin_life(
+    pub(super) fn start_incarnation(
         &mut self,
         now: Timestamp,
         registration: Registration,
         source: LifeSource,
         effects: &mut Vec<AgentEffect>,
     ) {
-        self.past_lives.forget(&registration.life);
-        self.life_number.0 += 1;
+        self.past_incarnations.forget(&registration.life);
+        self.incarnation_number.0 += 1;
         self.token = FenceToken(self.token.0 + 1);
         if source == LifeSource::Lists {
-            self.room_knowledge = RoomKnowledge::default();
+            self.capacity_freshness = CapacityFreshness::default();
         }
         effects.push(AgentEffect::Decided(AgentDecision::LifeBegan {
             life: registration.life.clone(),
@@ -144,12 +144,12 @@
         }));
         let mut clock = ClockEstimate::default();
         clock.update(now, registration.clock);
-        self.life = Some(Life {
+        self.worker = Some(WorkerState {
             name: registration.life,
-            number: self.life_number,
+            number: self.incarnation_number,
             source,
             service: registration.service,
-            service_heard: now,
+            service_confirmed_at: now,
             capacity: registration.capacity,
             least_capacity: registration.capacity,
             has_shrunk: false,
@@ -160,52 +160,54 @@
             draining: registration.draining,
             clock,
             last_seen: 0,
-            told_seen: 0,
+            last_seen_sent: 0,
             acknowledged: 0,
             has_synced: false,
-            told_in_control: false,
+            has_logged_control: false,
             unanswered_watches: 0,
             watching: None,
             watch_from: now,
             renewed: now,
-            foreign: BTreeMap::new(),
-            has_news: false,
-            lapsed: Vec::new(),
-            challenger: None,
+            orphans: BTreeMap::new(),
+            has_pending_watch: false,
+            expired_tasks: Vec::new(),
+            successor: None,
             deregistration: None,
         });
         self.health = Health::default();
-        self.renew_snapshots();
+        self.invalidate_snapshots();
         self.stop_held_starts(now);
     }
 
     /// Has gateways told anew what the worker is.
-    pub(super) fn renew_snapshots(&mut self) {
+    pub(super) fn invalidate_snapshots(&mut self) {
         for owner in self.owners.values_mut() {
             owner.has_snapshot = false;
         }
     }
 
     /// Leaves word of the present life for a later agent.
-    pub(super) fn remember(&self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        if let Some(life) = &self.life {
-            effects.push(AgentEffect::Remember(life.known(now)));
+    pub(super) fn persist_record(&self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        if let Some(worker) = &self.worker {
+            effects.push(AgentEffect::Remember(worker.known(now)));
         }
     }
 
-    pub(super) fn is_present(&self, name: &LifeName) -> bool {
-        self.life.as_ref().is_some_and(|life| life.name == *name)
+    pub(super) fn is_current(&self, name: &LifeName) -> bool {
+        self.worker
+            .as_ref()
+            .is_some_and(|worker| worker.name == *name)
     }
 
     /// All the room of the worker; none while no life of it is known.
     pub(super) fn capacity(&self) -> Room {
-        let life = self.life.as_ref();
-        life.map(|life| life.capacity).unwrap_or_default()
+        let worker = self.worker.as_ref();
+        worker.map(|worker| worker.capacity).unwrap_or_default()
     }
 
     /// The worker's clock at `now`; zero while no life of it is known.
     pub(super) fn worker_clock(&self, now: Timestamp) -> WorkerClock {
-        let life = self.life.as_ref();
-        life.map_or(WorkerClock::default(), |life| life.clock.at(now))
+        let worker = self.worker.as_ref();
+        worker.map_or(WorkerClock::default(), |worker| worker.clock.at(now))
     }
 }
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/life_end.rs
@@ -11,7 +11,7 @@
 use super::super::task::{RunId, TaskId};
 use super::crash_memory::is_early;
 use super::ledger::{Run, RunState, StopReason};
-use super::life::Life;
+use super::life::WorkerState;
 use super::proof::EndProof;
 use super::worker::{OrderFailure, Registration, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, LifeSource, LostRun, OrderAnswer};
@@ -19,60 +19,60 @@
 impl LeasedAgent {
     /// A life of the worker is over: what it ran has ended. The life that has registered since,
     /// if any, begins.
-    pub(super) fn on_life_over(
+    pub(super) fn on_incarnation_ended(
         &mut self,
         now: Timestamp,
         name: &LifeName,
         end: LifeEnd,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(mut present) = self.life.take_if(|life| life.name == *name) else {
+        let Some(mut present) = self.worker.take_if(|worker| worker.name == *name) else {
             return;
         };
-        self.note_over(now, &mut present, end, &BTreeSet::new(), effects);
+        self.record_incarnation_end(now, &mut present, end, &BTreeSet::new(), effects);
         let proof = match end {
             LifeEnd::Crashed | LifeEnd::Superseded | LifeEnd::Reborn => EndProof::LifeOver,
             LifeEnd::Deregistered | LifeEnd::Replaced => EndProof::LeaseOver,
         };
         // A worker of another id carries out nothing that was meant for this one.
         let may_return = name.may_return() && end != LifeEnd::Superseded;
-        for task in self.ledger.tasks_where(|_| true) {
-            let is_unconfirmed = self.ledger.get(task).is_some_and(Run::is_unconfirmed);
+        for task in self.runs.tasks_where(|_| true) {
+            let is_unconfirmed = self.runs.get(task).is_some_and(Run::is_unconfirmed);
             if may_return && is_unconfirmed {
                 self.hold_start(now, task, &present, effects);
             } else {
                 self.end_run(now, task, EndKind::Lost, proof, effects);
             }
         }
-        let next = present.challenger.map(|challenger| challenger.registration);
+        let next = present.successor.map(|successor| successor.registration);
         let next = next.filter(|next| {
             let is_gone = end == LifeEnd::Superseded && next.life.id == name.id;
-            !is_gone && !self.past_lives.is_leaving(now, &next.life)
+            !is_gone && !self.past_incarnations.is_leaving(now, &next.life)
         });
         if let Some(registration) = next {
-            self.begin_registered_life(now, registration, effects);
+            self.start_registered_incarnation(now, registration, effects);
         }
     }
 
     /// The worker answers, and was born at another time than the present life: it has started
     /// again under its id. What it lists as its own is `shown`. All else that the life before had
     /// is judged by the lists of the next one, as what the present life runs is.
-    pub(super) fn on_reborn(
+    pub(super) fn on_restarted(
         &mut self,
         now: Timestamp,
         born: Born,
-        shown: &BTreeSet<RunId>,
+        listed: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(mut present) = self.life.take() else {
+        let Some(mut present) = self.worker.take() else {
             return;
         };
-        self.note_over(now, &mut present, LifeEnd::Reborn, shown, effects);
-        self.held_id = Some(Arc::clone(&present.name.id));
+        self.record_incarnation_end(now, &mut present, LifeEnd::Reborn, listed, effects);
+        self.held_worker_id = Some(Arc::clone(&present.name.id));
         let name = present.name.reborn(born);
-        let registered = present.challenger.map(|challenger| challenger.registration);
+        let registered = present.successor.map(|successor| successor.registration);
         match registered.filter(|registration| registration.life == name) {
-            Some(registration) => self.begin_registered_life(now, registration, effects),
+            Some(registration) => self.start_registered_incarnation(now, registration, effects),
             None => {
                 let registration = Registration {
                     life: name,
@@ -83,28 +83,28 @@
                     draining: false,
                     sequence: 0,
                 };
-                self.begin_life(now, registration, LifeSource::Lists, effects);
+                self.start_incarnation(now, registration, LifeSource::Lists, effects);
             }
         }
     }
 
     /// Answers, remembers and tells what follows from the end of a life, except for its runs. Those
     /// that the next life has shown as its own have no part in it.
-    fn note_over(
+    fn record_incarnation_end(
         &mut self,
         now: Timestamp,
-        life: &mut Life,
+        worker: &mut WorkerState,
         end: LifeEnd,
-        shown: &BTreeSet<RunId>,
+        listed: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if let Some(deregistration) = &mut life.deregistration {
-            deregistration.answer(&life.name.id, effects);
+        if let Some(deregistration) = &mut worker.deregistration {
+            deregistration.answer(&worker.name.id, effects);
         }
         let lost: Vec<(TaskId, &Run)> = self
-            .ledger
+            .runs
             .iter()
-            .filter(|(task, run)| run.takes_room() && !shown.contains(&run.id(*task)))
+            .filter(|(task, run)| run.takes_room() && !listed.contains(&run.id(*task)))
             .collect();
         let runs = lost.iter().map(|(task, run)| LostRun {
             run: run.id(*task),
@@ -115,16 +115,19 @@
             task: *task,
             is_early: is_early(run, now.since(run.sent)),
         });
-        let begun = crashed.chain(std::mem::take(&mut life.lapsed)).collect();
-        self.note_life_end(&life.name, life.draining, end, begun);
+        let begun = crashed
+            .chain(std::mem::take(&mut worker.expired_tasks))
+            .collect();
+        self.record_crash(&worker.name, worker.draining, end, begun);
         effects.push(AgentEffect::Decided(AgentDecision::LifeOver {
-            life: life.name.clone(),
+            life: worker.name.clone(),
             end,
             runs,
         }));
-        self.past_lives.note_ended(life.name.clone());
+        self.past_incarnations.note_ended(worker.name.clone());
         if end == LifeEnd::Deregistered {
-            self.past_lives.note_deregistered(now, life.name.clone());
+            self.past_incarnations
+                .note_deregistered(now, worker.name.clone());
         }
     }
 
@@ -135,10 +138,10 @@
         &mut self,
         now: Timestamp,
         task: TaskId,
-        life: &Life,
+        worker: &WorkerState,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.get(task) else {
+        let Some(run) = self.runs.get(task) else {
             return;
         };
         let reason = match run.state {
@@ -151,40 +154,43 @@
             since: now,
             answered: None,
         };
-        self.ledger.set_state(task, state);
-        self.ledger.note(task, |run| run.stop_again = None);
-        self.held_id = Some(Arc::clone(&life.name.id));
+        self.runs.set_state(task, state);
+        self.runs.note(task, |run| run.retry_stop_at = None);
+        self.held_worker_id = Some(Arc::clone(&worker.name.id));
         effects.push(AgentEffect::Decided(AgentDecision::StartHeld { run }));
     }
 
     /// A life begins: if it has the id for which starts are held, their stops are sent to it.
     pub(super) fn stop_held_starts(&mut self, now: Timestamp) {
-        let Some(life) = &self.life else {
+        let Some(worker) = &self.worker else {
             return;
         };
-        if self.held_id.as_ref() != Some(&life.name.id) {
+        if self.held_worker_id.as_ref() != Some(&worker.name.id) {
             return;
         }
         let is_stopping = |run: &Run| matches!(run.state, RunState::Stopping { .. });
-        for task in self.ledger.tasks_where(is_stopping) {
-            self.ledger.restart_stop(task, now);
+        for task in self.runs.tasks_where(is_stopping) {
+            self.runs.reset_stop(task, now);
         }
     }
 
     /// The worker has answered for its present life: if that has another id than the one for which
     /// starts are held, none of them will be carried out.
-    pub(super) fn end_held_starts(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &self.life else {
+    pub(super) fn discard_held_starts(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        let Some(worker) = &self.worker else {
             return;
         };
-        let number = life.number;
-        let is_other = self.held_id.as_ref().is_some_and(|id| *id != life.name.id);
+        let number = worker.number;
+        let is_other = self
+            .held_worker_id
+            .as_ref()
+            .is_some_and(|id| *id != worker.name.id);
         if !is_other {
             return;
         }
-        self.held_id = None;
+        self.held_worker_id = None;
         let is_held = |run: &Run| run.takes_room() && run.life != number;
-        for task in self.ledger.tasks_where(is_held) {
+        for task in self.runs.tasks_where(is_held) {
             self.end_run(now, task, EndKind::Lost, EndProof::LifeOver, effects);
         }
     }
@@ -197,7 +203,7 @@
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.run(id).filter(|run| run.takes_room()) else {
+        let Some(run) = self.runs.run(id).filter(|run| run.takes_room()) else {
             return;
         };
         let is_starting = run.state == RunState::Starting;
@@ -215,12 +221,12 @@
                 (how, EndProof::Rejected)
             }
             // It was carried out by the life that is over, unless the next one lists it.
-            Ok(_) if self.life.is_none() => (EndKind::Lost, EndProof::LifeOver),
+            Ok(_) if self.worker.is_none() => (EndKind::Lost, EndProof::LifeOver),
             Ok(_) => {
                 if is_starting {
-                    self.note_running(now, id.task);
+                    self.mark_running(now, id.task);
                 }
-                self.ledger.confirm(id);
+                self.runs.confirm(id);
                 return;
             }
         };
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -36,19 +36,19 @@
 use super::room::Room;
 use super::task::{RunId, TaskId};
 use crate::session::SessionId;
-use crash_memory::CrashMemory;
+use crash_memory::CrashHistory;
 pub use events::{
     AgentDecision, AgentEffect, AgentEvent, IgnoredHeartbeat, LifeEnd, LifeSource, LostRun, Order,
     OrderAnswer, OrderKind, WatchAnswer,
 };
 use health::{FinishedRun, Health};
-use ledger::{Ledger, RunState};
-use life::{Life, LifeNumber};
+use ledger::{RunState, RunTable};
+use life::{IncarnationNumber, WorkerState};
 use owner::Owner;
-use past_lives::PastLives;
+use past_lives::PastIncarnations;
 use proof::EndProof;
+use room_knowledge::CapacityFreshness;
 pub use room_knowledge::HeartbeatTimes;
-use room_knowledge::RoomKnowledge;
 use worker::FenceToken;
 
 /// Settings of an agent's machine.
@@ -69,29 +69,29 @@
 #[derive(Debug)]
 pub struct LeasedAgent {
     options: AgentOptions,
-    life: Option<Life>,
+    worker: Option<WorkerState>,
     /// Number of the present life, or of the last.
-    life_number: LifeNumber,
+    incarnation_number: IncarnationNumber,
     /// Token of the present life, or of the last.
     token: FenceToken,
-    past_lives: PastLives,
+    past_incarnations: PastIncarnations,
     /// Id of the life whose end has left starts that may yet be carried out.
-    held_id: Option<Arc<str>>,
-    ledger: Ledger,
+    held_worker_id: Option<Arc<str>>,
+    runs: RunTable,
     health: Health,
-    crash_memory: CrashMemory,
+    crash_history: CrashHistory,
     /// Until when the room of the present life may be relied on.
-    room_knowledge: RoomKnowledge,
+    capacity_freshness: CapacityFreshness,
     /// Whether a stop of a run takes longer than a stop may.
     has_overdue_stop: bool,
     evacuations: Evacuations,
     owners: BTreeMap<Incarnation, Owner>,
     sessions: BTreeMap<SessionId, Incarnation>,
     stopping_since: Option<Timestamp>,
-    stop_reported: bool,
+    has_reported_stop: bool,
     last_flush: Timestamp,
     /// Since when the agent has run without standing still.
-    awake_since: Timestamp,
+    running_since: Timestamp,
 }
 
 impl LeasedAgent {
@@ -100,22 +100,22 @@
         Self {
             token: options.token_floor,
             options,
-            life: None,
-            life_number: LifeNumber::default(),
-            past_lives: PastLives::default(),
-            held_id: None,
-            ledger: Ledger::default(),
+            worker: None,
+            incarnation_number: IncarnationNumber::default(),
+            past_incarnations: PastIncarnations::default(),
+            held_worker_id: None,
+            runs: RunTable::default(),
             health: Health::default(),
-            crash_memory: CrashMemory::default(),
-            room_knowledge: RoomKnowledge::default(),
+            crash_history: CrashHistory::default(),
+            capacity_freshness: CapacityFreshness::default(),
             has_overdue_stop: false,
             evacuations: Evacuations::default(),
             owners: BTreeMap::new(),
             sessions: BTreeMap::new(),
             stopping_since: None,
-            stop_reported: false,
+            has_reported_stop: false,
             last_flush: Timestamp::default(),
-            awake_since: Timestamp::default(),
+            running_since: Timestamp::default(),
         }
     }
 
@@ -131,7 +131,7 @@
                 self.on_message(now, session, message, effects);
             }
             AgentEvent::Registered(registration) => self.on_registered(now, registration, effects),
-            AgentEvent::Recalled(registration) => self.on_recalled(now, registration, effects),
+            AgentEvent::Recalled(registration) => self.on_record_loaded(now, registration, effects),
             AgentEvent::Deregistration { id } => self.on_deregistration(now, &id, effects),
             AgentEvent::StartAnswered { run, life, answer } => {
                 self.on_start_answered(now, run, &life, answer, effects);
@@ -149,17 +149,17 @@
 
     /// Does what the events since the last flush, or time, gave rise to.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        self.note_awake(now);
-        self.note_overdue_stops(now);
-        self.tell_aged_room(now, effects);
-        self.end_silent_owners(now, effects);
+        self.detect_suspension(now);
+        self.check_overdue_stops(now);
+        self.log_stale_capacity(now, effects);
+        self.stop_runs_of_silent_owners(now, effects);
         self.close_silent_sessions(now, effects);
-        self.end_lapsed(now, effects);
+        self.end_expired_runs(now, effects);
         self.finish_deregistration(now, effects);
         self.start_waiting(now, effects);
-        self.end_waits(now, effects);
+        self.return_waiting(now, effects);
         self.offer_room(now, effects);
-        self.repeat_stops(now, effects);
+        self.retry_stops(now, effects);
         self.watch(now, effects);
         self.finish_stop(now, effects);
         self.send_all(now, effects);
@@ -167,28 +167,28 @@
 
     /// Runs that have not ended.
     pub fn run_count(&self) -> usize {
-        self.ledger.len()
+        self.runs.len()
     }
 
     /// Room that runs take at the worker.
     pub fn taken_room(&self) -> Room {
-        self.ledger.taken()
+        self.runs.taken()
     }
 
     /// Whether the worker may be given tasks, apart from its room.
     pub fn is_available(&self, now: Timestamp) -> bool {
-        let Some(life) = &self.life else {
+        let Some(worker) = &self.worker else {
             return false;
         };
         self.stopping_since.is_none()
             && !self.is_evacuated()
             && !self.has_overdue_stop
-            && self.room_knowledge.is_good(now)
-            && !life.is_leaving()
-            && !life.has_namesake()
-            && life.has_synced
-            && life.foreign.is_empty()
-            && life.unanswered_watches == 0
+            && self.capacity_freshness.is_fresh(now)
+            && !worker.is_leaving()
+            && !worker.has_possible_restart()
+            && worker.has_synced
+            && worker.orphans.is_empty()
+            && worker.unanswered_watches == 0
     }
 
     /// Whether the worker's zone is evacuated, as far as any gateway has told.
@@ -217,7 +217,7 @@
         proof: EndProof,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.remove(task) else {
+        let Some(run) = self.runs.remove(task) else {
             return;
         };
         let id = RunId {
@@ -234,12 +234,13 @@
         if let Some(owner) = self.owners.get_mut(&run.owner) {
             owner.push_end(id, how);
         }
-        if let (EndKind::Done, RunState::Running { .. }, Some(life)) = (how, run.state, &self.life)
+        if let (EndKind::Done, RunState::Running { .. }, Some(worker)) =
+            (how, run.state, &self.worker)
         {
             let finished = FinishedRun {
                 job: task.job,
                 sent: run.sent,
-                elapsed: life.clock.at(now).since(run.started),
+                elapsed: worker.clock.at(now).since(run.started),
                 estimate: run.estimate,
             };
             self.health.on_done(now, &finished);
@@ -247,12 +248,12 @@
     }
 
     fn order(&mut self, kind: OrderKind, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &self.life else {
+        let Some(worker) = &self.worker else {
             return;
         };
         effects.push(AgentEffect::Order(Order {
-            life: life.name.clone(),
-            token: life.token,
+            life: worker.name.clone(),
+            token: worker.token,
             kind,
         }));
     }
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -15,7 +15,7 @@
 
 /// How long room is held for a gateway that does not answer an offer: several times
 /// the way there and back.
-const OFFER_LIMIT: Span = Span::from_millis(10);
+const OFFER_TIMEOUT: Span = Span::from_millis(10);
 
 impl LeasedAgent {
     pub(super) fn on_announced(
@@ -49,7 +49,7 @@
         if !self.is_available(now) || self.limit_left(now) != UNLIMITED {
             return;
         }
-        while let Some((gateway, step, announced)) = self.first_in_rank(now) {
+        while let Some((gateway, step, announced)) = self.best_ranked_step(now) {
             let tasks = announced.room.times_in(self.free_room());
             let tasks = tasks.min(announced.count);
             let Some(owner) = self.owners.get_mut(&gateway) else {
@@ -59,13 +59,13 @@
                 step,
                 announced.room.times(tasks),
                 tasks,
-                now.after(OFFER_LIMIT),
+                now.after(OFFER_TIMEOUT),
             );
         }
     }
 
     /// The announced step of the best rank that fits into the free room.
-    fn first_in_rank(&self, now: Timestamp) -> Option<(Incarnation, StepKey, AnnouncedStep)> {
+    fn best_ranked_step(&self, now: Timestamp) -> Option<(Incarnation, StepKey, AnnouncedStep)> {
         let free = self.free_room();
         self.owners
             .iter()
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -13,15 +13,15 @@
 use crate::session::SessionId;
 
 /// How long a planned stop waits for the last ends to be acknowledged.
-const LAST_ENDS: Span = Span::from_millis(400);
+const FINAL_ACK_TIMEOUT: Span = Span::from_millis(400);
 
 impl LeasedAgent {
     /// Sends ends, reports and heartbeats that are due.
     pub(super) fn send_all(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let is_in_control = self
-            .life
+            .worker
             .as_ref()
-            .is_some_and(|life| life.has_synced && life.foreign.is_empty());
+            .is_some_and(|worker| worker.has_synced && worker.orphans.is_empty());
         let gateways: Vec<Incarnation> = self.sessions.values().copied().collect();
         for gateway in gateways {
             self.send_to(now, gateway, is_in_control, effects);
@@ -30,9 +30,11 @@
 
     /// The report for a gateway, once it is noted whether it has more room than the
     /// last one.
-    fn note_room_for(&mut self, now: Timestamp, gateway: Incarnation) -> Option<Report> {
+    fn prepare_report(&mut self, now: Timestamp, gateway: Incarnation) -> Option<Report> {
         let report = self.report(now, self.owners.get(&gateway)?);
-        self.owners.get_mut(&gateway)?.note_room(now, &report);
+        self.owners
+            .get_mut(&gateway)?
+            .track_capacity_growth(now, &report);
         Some(report)
     }
 
@@ -43,7 +45,7 @@
         is_in_control: bool,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(report) = self.note_room_for(now, gateway) else {
+        let Some(report) = self.prepare_report(now, gateway) else {
             return;
         };
         let Some(owner) = self.owners.get(&gateway) else {
@@ -53,7 +55,7 @@
             return;
         };
         let is_new = owner.last_report != Some(report);
-        self.tell_crashes(now, gateway, session, effects);
+        self.send_crashes(now, gateway, session, effects);
         let Some(owner) = self.owners.get(&gateway) else {
             return;
         };
@@ -64,11 +66,11 @@
             Some(FromAgentBody::Snapshot(self.snapshot(gateway)))
         } else {
             let is_report_due = is_new && owner.has_snapshot && now >= owner.report_due();
-            let is_beat_due = now
+            let is_heartbeat_due = now
                 >= owner
                     .last_sent
-                    .after(self.beat_interval(now, gateway, owner));
-            if !is_report_due && !is_beat_due && !owner.has_unsent_offer() {
+                    .after(self.heartbeat_interval(now, gateway, owner));
+            if !is_report_due && !is_heartbeat_due && !owner.has_unsent_offer() {
                 return;
             }
             Some(FromAgentBody::Heartbeat)
@@ -107,7 +109,7 @@
 
     /// Tells a gateway of crashes of the worker, before it hears that its runs have ended:
     /// it may place them again at once.
-    fn tell_crashes(
+    fn send_crashes(
         &mut self,
         now: Timestamp,
         gateway: Incarnation,
@@ -117,11 +119,11 @@
         let Some(owner) = self.owners.get_mut(&gateway) else {
             return;
         };
-        let news = self.crash_memory.after(owner.told_crashes);
+        let news = self.crash_history.after(owner.last_crash_sent);
         if news.is_empty() {
             return;
         }
-        owner.told_crashes = self.crash_memory.last();
+        owner.last_crash_sent = self.crash_history.last();
         owner.last_sent = now;
         let message = FromAgent {
             clock: now,
@@ -133,7 +135,7 @@
         effects.push(AgentEffect::Send { session, message });
     }
 
-    pub(super) fn beat_interval(
+    pub(super) fn heartbeat_interval(
         &self,
         now: Timestamp,
         gateway: Incarnation,
@@ -168,17 +170,21 @@
 
     fn snapshot(&self, gateway: Incarnation) -> Snapshot {
         let held = self
-            .ledger
+            .runs
             .iter()
             .filter(|(_, run)| run.owner == gateway)
             .map(|(task, run)| (task, run.number))
             .collect();
-        let life = self.life.as_ref();
+        let worker = self.worker.as_ref();
         Snapshot {
-            service: life.map(|life| life.service.clone()).unwrap_or_default(),
+            service: worker
+                .map(|worker| worker.service.clone())
+                .unwrap_or_default(),
             zone: self.options.zone.clone(),
             capacity: self.capacity(),
-            labels: life.map(|life| life.labels.clone()).unwrap_or_default(),
+            labels: worker
+                .map(|worker| worker.labels.clone())
+                .unwrap_or_default(),
             held,
         }
     }
@@ -188,18 +194,18 @@
         let Some(since) = self.stopping_since else {
             return;
         };
-        let patience_ends = since.after(self.options.stop_patience);
-        if now >= patience_ends {
-            let tasks: Vec<TaskId> = self.ledger.iter().map(|(task, _)| task).collect();
+        let stop_deadline = since.after(self.options.stop_patience);
+        if now >= stop_deadline {
+            let tasks: Vec<TaskId> = self.runs.iter().map(|(task, _)| task).collect();
             for task in tasks {
                 self.stop_run(now, task, StopReason::AgentStops, effects);
             }
         }
         let is_acknowledged = !self.owners.values().any(Owner::has_unacknowledged);
-        let is_over = now >= patience_ends.after(LAST_ENDS);
-        let is_done = self.ledger.is_empty() && is_acknowledged;
-        if (is_done || is_over) && !self.stop_reported {
-            self.stop_reported = true;
+        let is_over = now >= stop_deadline.after(FINAL_ACK_TIMEOUT);
+        let is_done = self.runs.is_empty() && is_acknowledged;
+        if (is_done || is_over) && !self.has_reported_stop {
+            self.has_reported_stop = true;
             effects.push(AgentEffect::Stopped);
         }
     }
@@ -208,22 +214,22 @@
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         let mut wakeups = Vec::new();
         wakeups.extend(self.health.next_change(now));
-        let room_ends = self.room_knowledge.good_until();
-        wakeups.extend((now < room_ends).then_some(room_ends));
-        wakeups.extend(self.lapse_at());
+        let stale_at = self.capacity_freshness.fresh_until();
+        wakeups.extend((now < stale_at).then_some(stale_at));
+        wakeups.extend(self.lease_expiry_at());
         wakeups.extend(self.deregistration_wakeup());
-        wakeups.extend(self.repeat_at(now));
-        wakeups.extend(self.look_for_silence_at(now));
+        wakeups.extend(self.retry_at(now));
+        wakeups.extend(self.silence_check_at(now));
         if let Some(since) = self.stopping_since {
-            let patience_ends = since.after(self.options.stop_patience);
-            wakeups.push(if now < patience_ends {
-                patience_ends
+            let stop_deadline = since.after(self.options.stop_patience);
+            wakeups.push(if now < stop_deadline {
+                stop_deadline
             } else {
-                patience_ends.after(LAST_ENDS)
+                stop_deadline.after(FINAL_ACK_TIMEOUT)
             });
         }
         let waits = self
-            .ledger
+            .runs
             .iter()
             .filter(|(_, run)| run.state == RunState::Waiting)
             .map(|(_, run)| run.wait_until);
@@ -237,7 +243,7 @@
                 wakeups.push(
                     owner
                         .last_sent
-                        .after(self.beat_interval(now, *gateway, owner)),
+                        .after(self.heartbeat_interval(now, *gateway, owner)),
                 );
                 if owner.has_snapshot && owner.last_report != Some(self.report(now, owner)) {
                     wakeups.push(owner.report_due());
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -13,15 +13,15 @@
 
 /// Ends that are kept for a gateway that does not acknowledge them; above
 /// this the oldest are dropped.
-const MOST_ENDS: usize = 4_096;
+const MAX_ENDS: usize = 4_096;
 
 /// Pause between two reports that have no other reason than a change of room. Room
 /// changes some 40 times a second at a busy worker (computed), and each report goes to up to sixteen
 /// gateways; with 5 ms nearly every change was a report of its own, for the same worth.
-const REPORT_PAUSE: Span = Span::from_millis(15);
+const MIN_REPORT_INTERVAL: Span = Span::from_millis(15);
 /// How much later than the gateway whose task ended the others hear of the room
 /// that it left.
-const HEAD_START: Span = Span::from_millis(6);
+const GROWTH_REPORT_DELAY: Span = Span::from_millis(6);
 
 /// A step of a job at a gateway.
 pub type StepKey = (JobId, u32);
@@ -48,7 +48,7 @@
 }
 
 /// Most steps of a gateway that are remembered as waiting.
-const MOST_ANNOUNCED: usize = 512;
+const MAX_ANNOUNCED_STEPS: usize = 512;
 
 /// A gateway with a session, or with runs or ends here.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     /// When that was.
     pub reported: Timestamp,
     /// Since when the worker has had more room than that report said.
-    pub has_more_room_since: Option<Timestamp>,
+    pub grown_since: Option<Timestamp>,
     /// When it last asked for a start.
     pub asked: Option<Timestamp>,
     /// Whether it gets no room: its session is about to be closed.
@@ -76,7 +76,7 @@
     /// Whether it was told what the worker is.
     pub has_snapshot: bool,
     /// Number of the last crash of the worker that it was told of, on this session.
-    pub told_crashes: u64,
+    pub last_crash_sent: u64,
     ends: VecDeque<TaskEnd>,
     unsent: usize,
     last_number: u64,
@@ -96,11 +96,11 @@
             last_sent: now,
             last_report: None,
             reported: Timestamp::default(),
-            has_more_room_since: None,
+            grown_since: None,
             asked: None,
             is_released: false,
             has_snapshot: false,
-            told_crashes: 0,
+            last_crash_sent: 0,
             ends: VecDeque::new(),
             unsent: 0,
             last_number: 0,
@@ -118,21 +118,21 @@
         self.opened = now;
         self.processed = 0;
         self.last_report = None;
-        self.has_more_room_since = None;
+        self.grown_since = None;
         self.is_released = false;
         self.has_snapshot = false;
-        self.told_crashes = 0;
+        self.last_crash_sent = 0;
         self.unsent = self.ends.len();
-        self.forget_waiting();
+        self.clear_waiting();
     }
 
     /// The session is closed.
     pub fn close(&mut self) {
         self.session = None;
-        self.forget_waiting();
+        self.clear_waiting();
     }
 
-    fn forget_waiting(&mut self) {
+    fn clear_waiting(&mut self) {
         self.announced.clear();
         self.offers.clear();
     }
@@ -145,7 +145,7 @@
             return;
         }
         self.announced.retain(|_, step| step.until > now);
-        if self.announced.len() >= MOST_ANNOUNCED {
+        if self.announced.len() >= MAX_ANNOUNCED_STEPS {
             return;
         }
         let step = AnnouncedStep {
@@ -192,7 +192,7 @@
     pub fn expire_offers(&mut self, now: Timestamp) -> bool {
         let is_expired = self.offers.iter().any(|pending| now >= pending.until);
         if is_expired {
-            self.forget_waiting();
+            self.clear_waiting();
         }
         is_expired
     }
@@ -236,7 +236,7 @@
             how,
         });
         self.unsent += 1;
-        if self.ends.len() > MOST_ENDS {
+        if self.ends.len() > MAX_ENDS {
             self.ends.pop_front();
             self.unsent = self.unsent.min(self.ends.len());
         }
@@ -268,14 +268,14 @@
     }
 
     /// Notes whether `report` has more room than the one that it was last sent.
-    pub fn note_room(&mut self, now: Timestamp, report: &Report) {
+    pub fn track_capacity_growth(&mut self, now: Timestamp, report: &Report) {
         let has_more = self
             .last_report
             .is_some_and(|last| !report.free.fits(last.free));
         if has_more {
-            self.has_more_room_since.get_or_insert(now);
+            self.grown_since.get_or_insert(now);
         } else {
-            self.has_more_room_since = None;
+            self.grown_since = None;
         }
     }
 
@@ -283,9 +283,9 @@
     /// is told late to those whose tasks have not made it: the gateway whose task
     /// ended may fill it first, and the others need not all run for it.
     pub fn report_due(&self) -> Timestamp {
-        let paused = self.reported.after(REPORT_PAUSE);
-        match self.has_more_room_since {
-            Some(since) => paused.max(since.after(HEAD_START)),
+        let paused = self.reported.after(MIN_REPORT_INTERVAL);
+        match self.grown_since {
+            Some(since) => paused.max(since.after(GROWTH_REPORT_DELAY)),
             None => paused,
         }
     }
@@ -294,7 +294,7 @@
     pub fn note_reported(&mut self, now: Timestamp, report: Report) {
         self.reported = now;
         self.last_report = Some(report);
-        self.has_more_room_since = None;
+        self.grown_since = None;
     }
 
     /// Age of its latest echo.
--- a/laurelstile-core/src/leased/agent/past_lives.rs
+++ b/laurelstile-core/src/leased/agent/past_lives.rs
@@ -9,14 +9,14 @@
 
 /// Most lives that are remembered. Words of a life that come late come within seconds of its
 /// end, in which a worker starts again a few times at most.
-const MOST_LIVES: usize = 64;
+const MAX_INCARNATIONS: usize = 64;
 
 /// For how long after its deregistration a life is held to be about to end. Its process is gone
 /// some seconds after it; one that is heard for longer goes on.
-const LEAVING: Span = Span::from_secs(30);
+const LEAVING_PERIOD: Span = Span::from_secs(30);
 
 #[derive(Clone, Debug)]
-struct PastLife {
+struct PastIncarnation {
     name: LifeName,
     deregistered: Option<Timestamp>,
 }
@@ -24,11 +24,11 @@
 /// Lives of the worker that have ended, or have said that they end. Late words of theirs are
 /// told from those of the present life by them.
 #[derive(Debug, Default)]
-pub struct PastLives {
-    lives: VecDeque<PastLife>,
+pub struct PastIncarnations {
+    lives: VecDeque<PastIncarnation>,
 }
 
-impl PastLives {
+impl PastIncarnations {
     /// A life has ended, or a heartbeat was one of a life that had.
     pub fn note_ended(&mut self, name: LifeName) {
         self.note(name, None);
@@ -66,7 +66,7 @@
     pub fn is_leaving(&self, now: Timestamp, name: &LifeName) -> bool {
         let life = self.lives.iter().find(|life| life.name == *name);
         let deregistered = life.and_then(|life| life.deregistered);
-        deregistered.is_some_and(|at| now.since(at) <= LEAVING)
+        deregistered.is_some_and(|at| now.since(at) <= LEAVING_PERIOD)
     }
 
     fn note(&mut self, name: LifeName, deregistered: Option<Timestamp>) {
@@ -75,9 +75,9 @@
             known.deregistered = deregistered.or(known.deregistered);
             return;
         }
-        if self.lives.len() == MOST_LIVES {
+        if self.lives.len() == MAX_INCARNATIONS {
             self.lives.pop_front();
         }
-        self.lives.push_back(PastLife { name, deregistered });
+        self.lives.push_back(PastIncarnation { name, deregistered });
     }
 }
--- a/laurelstile-core/src/leased/agent/progress.rs
+++ b/laurelstile-core/src/leased/agent/progress.rs
@@ -9,37 +9,37 @@
 
 /// A task that stands still for less is not called stalled, however short its
 /// estimate.
-const SHORTEST_STALL: Span = Span::from_millis(90);
+const MIN_STALL_TIMEOUT: Span = Span::from_millis(90);
 /// A task that stands still for longer is called stalled unless its estimate
 /// is so long that its progress shows only in larger steps.
-const LONGEST_STALL: Span = Span::from_millis(250);
+const MAX_STALL_TIMEOUT: Span = Span::from_millis(250);
 /// Share of the estimate that is one visible step of progress, with a margin.
-const VISIBLE_STEP: u64 = 25;
+const PROGRESS_STEP_DIVISOR: u64 = 25;
 /// A task that would take this many times its estimate is called too slow.
 const SLOW_FACTOR: u64 = 4;
 /// A slow task is left alone from this progress on.
 const NEARLY_DONE_PERCENT: u32 = 60;
 /// A slow task is left alone if it is done within so long: starting it anew
 /// elsewhere takes time too.
-const SOON_DONE: Span = Span::from_millis(90);
+const MIN_REMAINING: Span = Span::from_millis(90);
 
 impl LeasedAgent {
     /// Stops a run that makes no progress, or far too little, by the worker's
     /// own clock: an agent that was slow itself must not blame the worker.
-    pub(super) fn judge_progress(
+    pub(super) fn check_progress(
         &mut self,
         now: Timestamp,
         clock: WorkerClock,
         task: TaskId,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.get(task) else {
+        let Some(run) = self.runs.get(task) else {
             return;
         };
         if !matches!(run.state, RunState::Running { .. }) {
             return;
         }
-        if clock.since(run.progressed) > stall_after(run) {
+        if clock.since(run.progressed) > stall_timeout(run) {
             if !run.has_stalled {
                 self.health.on_stalled(now);
             }
@@ -52,7 +52,7 @@
         }
         let projected = Span(elapsed.0 * 100 / u64::from(run.percent));
         let is_slow = projected.0 > run.estimate.0 * SLOW_FACTOR
-            && projected.0.saturating_sub(elapsed.0) > SOON_DONE.0;
+            && projected.0.saturating_sub(elapsed.0) > MIN_REMAINING.0;
         if is_slow && !self.health.has_normal_pace_since(now, task.job, run.sent) {
             self.health.on_slow(now, projected, run.estimate);
             self.stop_run(now, task, StopReason::TooSlow { projected }, effects);
@@ -60,8 +60,8 @@
     }
 }
 
-fn stall_after(run: &Run) -> Span {
+fn stall_timeout(run: &Run) -> Span {
     let short = Span(run.estimate.0 / 2);
-    let bounded = short.0.clamp(SHORTEST_STALL.0, LONGEST_STALL.0);
-    Span(bounded.max(run.estimate.0 / VISIBLE_STEP))
+    let bounded = short.0.clamp(MIN_STALL_TIMEOUT.0, MAX_STALL_TIMEOUT.0);
+    Span(bounded.max(run.estimate.0 / PROGRESS_STEP_DIVISOR))
 }
--- a/laurelstile-core/src/leased/agent/room_knowledge.rs
+++ b/laurelstile-core/src/leased/agent/room_knowledge.rs
@@ -18,63 +18,63 @@
 }
 
 /// What is kept of the grace for a start that is on its way.
-const MARGIN: Span = Span::from_millis(500);
+const IN_FLIGHT_MARGIN: Span = Span::from_millis(500);
 
 impl HeartbeatTimes {
     /// How long a heartbeat is good for: until the next one in any case.
-    fn good_for(self) -> Span {
-        let aged = (self.interval.0 + self.grace.0).saturating_sub(MARGIN.0);
-        Span(aged.max(self.interval.0 + MARGIN.0))
+    fn heartbeat_validity(self) -> Span {
+        let aged = (self.interval.0 + self.grace.0).saturating_sub(IN_FLIGHT_MARGIN.0);
+        Span(aged.max(self.interval.0 + IN_FLIGHT_MARGIN.0))
     }
 }
 
 /// Until when the room of a worker's life may be relied on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RoomKnowledge {
-    good_until: Timestamp,
+pub struct CapacityFreshness {
+    fresh_until: Timestamp,
     /// Whether the log was told that it has aged.
-    is_age_told: bool,
+    has_logged_staleness: bool,
 }
 
-impl RoomKnowledge {
+impl CapacityFreshness {
     /// A heartbeat came.
     pub fn on_heartbeat(&mut self, now: Timestamp, times: HeartbeatTimes) {
-        self.good_until = self.good_until.max(now.after(times.good_for()));
-        self.is_age_told = false;
+        self.fresh_until = self.fresh_until.max(now.after(times.heartbeat_validity()));
+        self.has_logged_staleness = false;
     }
 
     /// An earlier agent here was heard `silence` ago. The last heartbeat to it is older by
     /// an interval at the most.
     pub fn on_predecessor(&mut self, now: Timestamp, silence: Span, times: HeartbeatTimes) {
         let age = silence.0 + times.interval.0;
-        let left = times.good_for().0.saturating_sub(age);
-        self.good_until = self.good_until.max(now.after(Span(left)));
+        let left = times.heartbeat_validity().0.saturating_sub(age);
+        self.fresh_until = self.fresh_until.max(now.after(Span(left)));
     }
 
     /// Whether the room may be relied on.
-    pub fn is_good(&self, now: Timestamp) -> bool {
-        now < self.good_until
+    pub fn is_fresh(&self, now: Timestamp) -> bool {
+        now < self.fresh_until
     }
 
     /// Whether it has aged, the first time that this is asked since the last heartbeat.
-    pub fn has_just_aged(&mut self, now: Timestamp) -> bool {
-        !self.is_good(now) && !std::mem::replace(&mut self.is_age_told, true)
+    pub fn take_staleness_notice(&mut self, now: Timestamp) -> bool {
+        !self.is_fresh(now) && !std::mem::replace(&mut self.has_logged_staleness, true)
     }
 
     /// When that ends by time alone.
-    pub fn good_until(&self) -> Timestamp {
-        self.good_until
+    pub fn fresh_until(&self) -> Timestamp {
+        self.fresh_until
     }
 }
 
 impl LeasedAgent {
     /// Notes for the log, once, that nothing starts any more because the worker is not heard.
-    pub(super) fn tell_aged_room(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &self.life else {
+    pub(super) fn log_stale_capacity(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        let Some(worker) = &self.worker else {
             return;
         };
-        if self.room_knowledge.has_just_aged(now) {
-            let life = life.name.clone();
+        if self.capacity_freshness.take_staleness_notice(now) {
+            let life = worker.name.clone();
             effects.push(AgentEffect::Decided(AgentDecision::RoomAged { life }));
         }
     }
--- a/laurelstile-core/src/leased/agent/sessions.rs
+++ b/laurelstile-core/src/leased/agent/sessions.rs
@@ -50,12 +50,17 @@
         let silence = owner.echo_age(now);
         owner.open(now, session);
         self.sessions.insert(session, gateway);
-        self.tell_resumed(gateway, silence, effects);
+        self.log_resumed_session(gateway, silence, effects);
     }
 
     /// Notes for the log that runs outlived a session: how old the gateway's latest word is.
-    fn tell_resumed(&self, gateway: Incarnation, silence: Span, effects: &mut Vec<AgentEffect>) {
-        let own = self.ledger.iter().filter(|(_, run)| run.owner == gateway);
+    fn log_resumed_session(
+        &self,
+        gateway: Incarnation,
+        silence: Span,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        let own = self.runs.iter().filter(|(_, run)| run.owner == gateway);
         let runs = own.count();
         if runs > 0 {
             effects.push(AgentEffect::Decided(AgentDecision::SessionResumed {
@@ -105,7 +110,7 @@
             ToAgentBody::Start(batch) => self.on_start(now, gateway, message.echo, &batch, effects),
             ToAgentBody::Stop(tasks) => {
                 for task in tasks {
-                    self.on_stop_asked(now, gateway, task, effects);
+                    self.on_stop_requested(now, gateway, task, effects);
                 }
             }
             ToAgentBody::Members(members) => effects.push(AgentEffect::Members(members)),
--- a/laurelstile-core/src/leased/agent/silence.rs
+++ b/laurelstile-core/src/leased/agent/silence.rs
@@ -8,21 +8,25 @@
 use crate::session::SessionId;
 
 /// How long a gateway without a session is remembered.
-const OWNER_MEMORY: Span = Span::from_secs(4);
+const OWNER_RETENTION: Span = Span::from_secs(4);
 /// A session is closed, and its gateway dialed anew, if nothing has come over it for so
 /// long although this agent sent: a connection may go silent without an end while new ones
 /// work. Ten heartbeats of a busy session; two of an idle one, and some.
 const BUSY_SESSION_SILENCE: Span = Span::from_millis(1_000);
 const IDLE_SESSION_SILENCE: Span = Span::from_millis(2_200);
 /// How often an agent with sessions looks at the time, at least.
-const LOOK_PAUSE: Span = Span::from_millis(500);
+const SILENCE_CHECK_INTERVAL: Span = Span::from_millis(500);
 /// An agent that was not woken for longer has stood still: it has heard nothing because
 /// it did not listen.
-const STANDSTILL: Span = Span::from_millis(700);
+const SUSPENSION_THRESHOLD: Span = Span::from_millis(700);
 
 impl LeasedAgent {
     /// Stops what gateways that are silent have left here.
-    pub(super) fn end_silent_owners(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+    pub(super) fn stop_runs_of_silent_owners(
+        &mut self,
+        now: Timestamp,
+        effects: &mut Vec<AgentEffect>,
+    ) {
         let silent: Vec<Incarnation> = self
             .owners
             .iter()
@@ -33,10 +37,9 @@
             self.stop_runs_of(now, *gateway, effects);
         }
         for gateway in silent {
-            let is_over = self
-                .owners
-                .get(&gateway)
-                .is_some_and(|owner| owner.session.is_none() && owner.echo_age(now) > OWNER_MEMORY);
+            let is_over = self.owners.get(&gateway).is_some_and(|owner| {
+                owner.session.is_none() && owner.echo_age(now) > OWNER_RETENTION
+            });
             if is_over && !self.owns_runs(gateway) {
                 self.owners.remove(&gateway);
             }
@@ -44,16 +47,20 @@
     }
 
     pub(super) fn owns_runs(&self, gateway: Incarnation) -> bool {
-        self.ledger.iter().any(|(_, run)| run.owner == gateway)
+        self.runs.iter().any(|(_, run)| run.owner == gateway)
     }
 
     /// Notes that the agent runs, and since when it has done so without a break. While it stood
     /// still its worker may have started again: nothing starts there until it has been asked.
-    pub(super) fn note_awake(&mut self, now: Timestamp) {
-        if now.since(self.last_flush) > STANDSTILL {
-            self.awake_since = now;
-            if let Some(life) = self.life.as_mut().filter(|life| life.name.may_return()) {
-                life.has_synced = false;
+    pub(super) fn detect_suspension(&mut self, now: Timestamp) {
+        if now.since(self.last_flush) > SUSPENSION_THRESHOLD {
+            self.running_since = now;
+            if let Some(worker) = self
+                .worker
+                .as_mut()
+                .filter(|worker| worker.name.may_return())
+            {
+                worker.has_synced = false;
             }
         }
         self.last_flush = now;
@@ -84,20 +91,20 @@
     /// When the session to a gateway is closed if nothing comes over it.
     fn session_silent_at(&self, now: Timestamp, gateway: Incarnation) -> Option<Timestamp> {
         let owner = self.owners.get(&gateway)?;
-        let limit = if self.beat_interval(now, gateway, owner) == BUSY_HEARTBEAT {
+        let limit = if self.heartbeat_interval(now, gateway, owner) == BUSY_HEARTBEAT {
             BUSY_SESSION_SILENCE
         } else {
             IDLE_SESSION_SILENCE
         };
         let heard = owner.echo.max(owner.opened);
-        Some(heard.max(self.awake_since).after(limit))
+        Some(heard.max(self.running_since).after(limit))
     }
 
     /// When to look again whether a session is silent.
-    pub(super) fn look_for_silence_at(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(super) fn silence_check_at(&self, now: Timestamp) -> Option<Timestamp> {
         let gateways = self.sessions.values();
         let due = gateways.filter_map(|gateway| self.session_silent_at(now, *gateway));
-        let look = self.last_flush.after(LOOK_PAUSE);
+        let look = self.last_flush.after(SILENCE_CHECK_INTERVAL);
         due.min().map(|due| due.min(look))
     }
 }
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -9,16 +9,16 @@
 use super::super::task::{RunId, TaskId};
 use super::super::timing::START_FRESHNESS;
 use super::ledger::{Run, RunState, StopReason};
-use super::life::LifeNumber;
+use super::life::IncarnationNumber;
 use super::proof::EndProof;
 use super::worker::{FenceToken, OrderFailure, Rejection, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderAnswer, OrderKind};
 
 /// Most tasks that wait here for room.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 /// A token rises by this power of two at most at a time: 35 years in milliseconds, for a machine
 /// that did not know the time.
-const MOST_TOKEN_DOUBLINGS: u32 = 40;
+const MAX_TOKEN_DOUBLINGS: u32 = 40;
 
 impl LeasedAgent {
     pub(super) fn on_start(
@@ -51,23 +51,23 @@
                 input: batch.input.clone(),
                 wait_until: now.after(Span::from_millis(u64::from(batch.patience_millis))),
                 sent: now,
-                life: LifeNumber::default(),
+                life: IncarnationNumber::default(),
                 is_confirmed: false,
                 state: RunState::Waiting,
-                stop_again: None,
-                lost_stops: 0,
-                is_overdue_told: false,
+                retry_stop_at: None,
+                unanswered_stops: 0,
+                has_logged_overdue_stop: false,
                 is_alone: batch.is_alone,
                 has_stalled: batch.has_stalled,
                 percent: 0,
                 started: WorkerClock::default(),
                 progressed: WorkerClock::default(),
             };
-            if let Some(reason) = self.refusal_of(now, echo, task, &run, effects) {
+            if let Some(reason) = self.refusal_reason(now, echo, task, &run, effects) {
                 self.refuse(gateway, RunId { task, run: *number }, reason, effects);
                 continue;
             }
-            self.ledger.insert(task, run);
+            self.runs.insert(task, run);
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    fn refusal_of(
+    fn refusal_reason(
         &mut self,
         now: Timestamp,
         echo: Timestamp,
@@ -97,7 +97,7 @@
         run: &Run,
         effects: &mut Vec<AgentEffect>,
     ) -> Option<NotStartedReason> {
-        if self.ledger.get(task).is_some() {
+        if self.runs.get(task).is_some() {
             // Whoever asks last has the job now; the earlier run ends first.
             self.stop_run(now, task, StopReason::OwnerSilent, effects);
             return Some(NotStartedReason::Duplicate);
@@ -112,35 +112,35 @@
             return None;
         }
         let fits_at_once = run.room.fits(self.free_room());
-        let may_wait = run.wait_until > now && self.ledger.waiting() < MOST_WAITING;
+        let may_wait = run.wait_until > now && self.runs.waiting() < MAX_WAITING;
         (!fits_at_once && !may_wait).then_some(NotStartedReason::Full)
     }
 
     /// Room that is neither taken nor spoken for.
     pub(super) fn free_room(&self) -> super::Room {
         self.capacity()
-            .minus(self.ledger.taken())
-            .minus(self.ledger.waiting_room())
+            .minus(self.runs.taken())
+            .minus(self.runs.waiting_room())
             .minus(self.offered_room())
     }
 
     /// Tasks that may still be taken in, by the worker's health; none beside one that is
     /// to be alone.
     pub(super) fn limit_left(&self, now: Timestamp) -> u32 {
-        if self.ledger.has_alone() {
+        if self.runs.has_exclusive() {
             return 0;
         }
-        let count = self.ledger.len();
+        let count = self.runs.len();
         self.health.limit(now, count)
     }
 
     /// Starts what waits and fits, the least patient first.
     pub(super) fn start_waiting(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        if self.ledger.waiting() == 0 || !self.is_available(now) {
+        if self.runs.waiting() == 0 || !self.is_available(now) {
             return;
         }
         let mut waiting: Vec<(Timestamp, TaskId)> = self
-            .ledger
+            .runs
             .iter()
             .filter(|(_, run)| run.state == RunState::Waiting)
             .map(|(task, run)| (run.wait_until, task))
@@ -152,11 +152,11 @@
     }
 
     fn start_if_fits(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<AgentEffect>) {
-        let free = self.capacity().minus(self.ledger.taken());
-        let Some(run) = self.ledger.get(task) else {
+        let free = self.capacity().minus(self.runs.taken());
+        let Some(run) = self.runs.get(task) else {
             return;
         };
-        let must_wait = run.is_alone && self.ledger.active() > 0;
+        let must_wait = run.is_alone && self.runs.active() > 0;
         if must_wait || !run.room.fits(free) {
             return;
         }
@@ -171,9 +171,9 @@
             input,
             lease_until,
         };
-        self.ledger.set_state(task, RunState::Starting);
-        let life = self.life_number;
-        self.ledger.note(task, |run| {
+        self.runs.set_state(task, RunState::Starting);
+        let life = self.incarnation_number;
+        self.runs.note(task, |run| {
             run.sent = now;
             run.life = life;
         });
@@ -181,8 +181,8 @@
     }
 
     /// Gives back what has waited for too long, or cannot start any more.
-    pub(super) fn end_waits(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        if self.ledger.waiting() == 0 {
+    pub(super) fn return_waiting(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        if self.runs.waiting() == 0 {
             return;
         }
         let is_available = self.is_available(now);
@@ -191,7 +191,7 @@
         } else {
             NotStartedReason::Unavailable
         };
-        let over = self.ledger.tasks_where(|run| {
+        let over = self.runs.tasks_where(|run| {
             run.state == RunState::Waiting && (!is_available || now >= run.wait_until)
         });
         for task in over {
@@ -208,18 +208,18 @@
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_present(life) {
+        if !self.is_current(life) {
             self.on_late_start_answer(now, id, answer, effects);
             return;
         }
-        let state = self.ledger.run(id).map(|run| run.state);
+        let state = self.runs.run(id).map(|run| run.state);
         match answer {
             Err(OrderFailure::LifeOver) => {
                 // The life was over before the order came: the run has no part in that.
                 if state == Some(RunState::Starting) {
                     self.end_run(now, id.task, EndKind::Lost, EndProof::LifeOver, effects);
                 }
-                self.on_life_over(now, life, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, life, LifeEnd::Superseded, effects);
             }
             Err(OrderFailure::Refused) => {
                 if state == Some(RunState::Starting) {
@@ -233,12 +233,12 @@
                 }
             }
             Ok(OrderAnswer { clock, rejection }) => {
-                self.note_clock(now, clock);
+                self.update_clock(now, clock);
                 match rejection {
                     None if state == Some(RunState::Starting) => {
-                        self.note_running(now, id.task);
+                        self.mark_running(now, id.task);
                     }
-                    None => self.ledger.confirm(id),
+                    None => self.runs.confirm(id),
                     Some(rejection) => self.on_start_rejected(now, id, rejection, effects),
                 }
             }
@@ -246,11 +246,10 @@
     }
 
     /// A start is proved to have been carried out.
-    pub(super) fn note_running(&mut self, now: Timestamp, task: TaskId) {
+    pub(super) fn mark_running(&mut self, now: Timestamp, task: TaskId) {
         let clock = self.worker_clock(now);
-        self.ledger
-            .set_state(task, RunState::Running { since: now });
-        self.ledger.note(task, |run| {
+        self.runs.set_state(task, RunState::Running { since: now });
+        self.runs.note(task, |run| {
             run.is_confirmed = true;
             run.started = clock;
             run.progressed = clock;
@@ -264,7 +263,7 @@
         rejection: Rejection,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if self.ledger.run(id).is_none() {
+        if self.runs.run(id).is_none() {
             return;
         }
         let how = match rejection {
@@ -284,20 +283,20 @@
         self.end_run(now, id.task, how, EndProof::Rejected, effects);
     }
 
-    pub(super) fn note_clock(&mut self, now: Timestamp, clock: Option<WorkerClock>) {
-        if let (Some(life), Some(clock)) = (&mut self.life, clock) {
-            life.clock.update(now, clock);
+    pub(super) fn update_clock(&mut self, now: Timestamp, clock: Option<WorkerClock>) {
+        if let (Some(worker), Some(clock)) = (&mut self.worker, clock) {
+            worker.clock.update(now, clock);
         }
     }
 
     /// The worker has seen a higher token than ours: take a higher one still, in steps that
     /// double, since an earlier agent's time of day may have been ahead by any span.
     pub(super) fn raise_token(&mut self) {
-        if let Some(life) = &mut self.life {
-            let step = 1 << life.fenced.min(MOST_TOKEN_DOUBLINGS);
-            life.fenced += 1;
-            life.token = FenceToken(life.token.0 + step);
-            self.token = self.token.max(life.token);
+        if let Some(worker) = &mut self.worker {
+            let step = 1 << worker.fenced.min(MAX_TOKEN_DOUBLINGS);
+            worker.fenced += 1;
+            worker.token = FenceToken(worker.token.0 + step);
+            self.token = self.token.max(worker.token);
         }
     }
 }
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -14,24 +14,21 @@
 
 /// Pause before a stop is sent for the third time and later: a worker that breaks
 /// every connection would otherwise be called without end.
-const STOP_PAUSE: Span = Span::from_millis(20);
+const STOP_RETRY_DELAY: Span = Span::from_millis(20);
 /// The same once the lease is over: only a start that no life has shown is still stopped then.
-const LONG_STOP_PAUSE: Span = Span::from_millis(200);
+const EXPIRED_STOP_RETRY_DELAY: Span = Span::from_millis(200);
 
 impl LeasedAgent {
-    pub(super) fn on_stop_asked(
+    pub(super) fn on_stop_requested(
         &mut self,
         now: Timestamp,
         gateway: Incarnation,
         task: TaskId,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let is_owner = self
-            .ledger
-            .get(task)
-            .is_some_and(|run| run.owner == gateway);
+        let is_owner = self.runs.get(task).is_some_and(|run| run.owner == gateway);
         if is_owner {
-            self.stop_run(now, task, StopReason::Asked, effects);
+            self.stop_run(now, task, StopReason::Requested, effects);
         }
     }
 
@@ -43,7 +40,7 @@
         reason: StopReason,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.get(task) else {
+        let Some(run) = self.runs.get(task) else {
             return;
         };
         let id = RunId {
@@ -56,7 +53,7 @@
                 self.end_run(now, task, how, EndProof::NotSent, effects);
             }
             RunState::Starting | RunState::Running { .. } => {
-                if reason != StopReason::Asked {
+                if reason != StopReason::Requested {
                     let decision = AgentDecision::Stopping {
                         run: id,
                         reason: reason.name(),
@@ -73,7 +70,7 @@
                     since: now,
                     answered: None,
                 };
-                self.ledger.set_state(task, state);
+                self.runs.set_state(task, state);
                 self.order(OrderKind::Stop { run: id }, effects);
             }
             RunState::Stopping { .. } => {}
@@ -86,7 +83,7 @@
         gateway: Incarnation,
         effects: &mut Vec<AgentEffect>,
     ) {
-        for task in self.ledger.tasks_where(|run| run.owner == gateway) {
+        for task in self.runs.tasks_where(|run| run.owner == gateway) {
             self.stop_run(now, task, StopReason::OwnerSilent, effects);
         }
     }
@@ -99,34 +96,34 @@
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_present(life) {
+        if !self.is_current(life) {
             return;
         }
         match answer {
             Err(OrderFailure::LifeOver) => {
-                self.on_life_over(now, life, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, life, LifeEnd::Superseded, effects);
             }
             Err(failure @ (OrderFailure::NoAnswer | OrderFailure::Refused)) => {
                 if failure == OrderFailure::Refused {
                     self.watch_at_once(now);
                 }
-                if self.ledger.run(id).is_some() {
-                    self.ledger.note(id.task, |run| {
-                        run.stop_again = Some(now.after(pause_before_stop(run, now)));
-                        run.lost_stops += 1;
+                if self.runs.run(id).is_some() {
+                    self.runs.note(id.task, |run| {
+                        run.retry_stop_at = Some(now.after(stop_retry_delay(run, now)));
+                        run.unanswered_stops += 1;
                     });
-                    self.tell_unanswered_stop(now, id, effects);
+                    self.log_unanswered_stop(now, id, effects);
                 }
             }
             Ok(OrderAnswer { clock, rejection }) => {
-                self.note_clock(now, clock);
+                self.update_clock(now, clock);
                 if rejection == Some(Rejection::Fenced) {
                     self.raise_token();
                     self.order(OrderKind::Stop { run: id }, effects);
                     return;
                 }
                 let Some(RunState::Stopping { reason, since, .. }) =
-                    self.ledger.run(id).map(|run| run.state)
+                    self.runs.run(id).map(|run| run.state)
                 else {
                     return;
                 };
@@ -135,24 +132,25 @@
                     since,
                     answered: Some(now),
                 };
-                self.ledger.set_state(id.task, state);
+                self.runs.set_state(id.task, state);
             }
         }
     }
 
     /// Notes for the log, once for a run, that its stop takes longer than a stop may.
-    fn tell_unanswered_stop(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
-        let Some(run) = self.ledger.run(id) else {
+    fn log_unanswered_stop(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
+        let Some(run) = self.runs.run(id) else {
             return;
         };
         let RunState::Stopping { reason, since, .. } = run.state else {
             return;
         };
-        let (age, stops) = (now.since(since), run.lost_stops);
-        if !run.is_stop_overdue(now) || run.is_overdue_told {
+        let (age, stops) = (now.since(since), run.unanswered_stops);
+        if !run.is_stop_overdue(now) || run.has_logged_overdue_stop {
             return;
         }
-        self.ledger.note(id.task, |run| run.is_overdue_told = true);
+        self.runs
+            .note(id.task, |run| run.has_logged_overdue_stop = true);
         effects.push(AgentEffect::Decided(AgentDecision::StopUnanswered {
             run: id,
             reason: reason.name(),
@@ -164,20 +162,20 @@
     /// Nobody listens for orders: whether the worker is gone, its watch tells. That has a
     /// connection of its own, which a process that has only closed its door still serves.
     pub(super) fn watch_at_once(&mut self, now: Timestamp) {
-        if let Some(life) = &mut self.life {
-            life.has_news = true;
-            life.watch_from = life.watch_from.min(now);
+        if let Some(worker) = &mut self.worker {
+            worker.has_pending_watch = true;
+            worker.watch_from = worker.watch_from.min(now);
         }
     }
 
     /// Sends stops that got no answer again.
-    pub(super) fn repeat_stops(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+    pub(super) fn retry_stops(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let due = self
-            .ledger
-            .tasks_where(|run| run.stop_again.is_some_and(|again| now >= again));
+            .runs
+            .tasks_where(|run| run.retry_stop_at.is_some_and(|again| now >= again));
         for task in due {
-            self.ledger.note(task, |run| run.stop_again = None);
-            if let Some(run) = self.ledger.get(task).map(|run| run.number) {
+            self.runs.note(task, |run| run.retry_stop_at = None);
+            if let Some(run) = self.runs.get(task).map(|run| run.number) {
                 let run = RunId { task, run };
                 self.order(OrderKind::Stop { run }, effects);
             }
@@ -188,7 +186,7 @@
 impl StopReason {
     fn name(self) -> &'static str {
         match self {
-            Self::Asked => "asked",
+            Self::Requested => "asked",
             Self::OwnerSilent => "owner_silent",
             Self::Stalled => "stalled",
             Self::TooSlow { .. } => "too_slow",
@@ -201,12 +199,12 @@
 }
 
 /// Pause before a stop is sent again that has just had no answer.
-fn pause_before_stop(run: &Run, now: Timestamp) -> Span {
-    if run.lost_stops == 0 {
+fn stop_retry_delay(run: &Run, now: Timestamp) -> Span {
+    if run.unanswered_stops == 0 {
         Span::default()
     } else if now.since(run.sent) <= LEASE_AT_MOST {
-        STOP_PAUSE
+        STOP_RETRY_DELAY
     } else {
-        LONG_STOP_PAUSE
+        EXPIRED_STOP_RETRY_DELAY
     }
 }
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -10,9 +10,9 @@
 use super::super::messages::EndKind;
 use super::super::task::{RunId, TaskId};
 use super::super::timing::{LEASE_AT_MOST, STOP_AT_MOST};
-use super::lease::lease_over_at;
+use super::lease::lease_expired_at;
 use super::ledger::{Run, RunState, StopReason};
-use super::life::{Life, LifeNumber};
+use super::life::{IncarnationNumber, WorkerState};
 use super::proof::EndProof;
 use super::worker::{OrderFailure, Rejection, WorkerEnd, WorkerEndKind, WorkerLists};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderKind, WatchAnswer};
@@ -21,47 +21,47 @@
 const WATCH_WAIT: Span = Span::from_millis(30);
 /// Pause after the second watch in a row without an answer; it doubles so many
 /// times. The first is repeated at once.
-const WATCH_PAUSE: Span = Span::from_millis(10);
-const WATCH_DOUBLINGS: u32 = 4;
+const WATCH_RETRY_DELAY: Span = Span::from_millis(10);
+const MAX_WATCH_DOUBLINGS: u32 = 4;
 /// Watches without an answer after which the leases are left to lapse.
-const UNANSWERED_WATCHES: u32 = 2;
+const SILENT_WATCHES: u32 = 2;
 /// Pause before a stop is sent again to a run that this agent did not start.
-const FOREIGN_STOP_PAUSE: Span = Span::from_millis(100);
+const ORPHAN_STOP_INTERVAL: Span = Span::from_millis(100);
 impl LeasedAgent {
     /// Sends the next watch if one is wanted and none is under way.
     pub(super) fn watch(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let active = self.ledger.active();
+        let active = self.runs.active();
         // The lists alone prove that a stopped run is over: they are wanted at
         // once.
-        let awaits_proof = self.ledger.iter().any(|(_, run)| {
+        let awaits_proof = self.runs.iter().any(|(_, run)| {
             let RunState::Stopping { answered, .. } = run.state else {
                 return false;
             };
             answered.is_some()
         });
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
         let is_wanted = active > 0
-            || !life.foreign.is_empty()
-            || life.has_news
-            || !life.has_synced
-            || life.challenger.is_some()
-            || life.has_deregistered()
-            || life.unanswered_watches > 0;
-        if life.watching.is_some() || !is_wanted || now < life.watch_from {
+            || !worker.orphans.is_empty()
+            || worker.has_pending_watch
+            || !worker.has_synced
+            || worker.successor.is_some()
+            || worker.has_deregistered()
+            || worker.unanswered_watches > 0;
+        if worker.watching.is_some() || !is_wanted || now < worker.watch_from {
             return;
         }
-        let is_renewing = active > 0 && !life.is_left_to_lapse();
+        let is_renewing = active > 0 && !worker.is_lease_expiring();
         let may_wait = active > 0
-            && life.has_synced
-            && life.challenger.is_none()
-            && !life.has_deregistered()
-            && life.unanswered_watches == 0
+            && worker.has_synced
+            && worker.successor.is_none()
+            && !worker.has_deregistered()
+            && worker.unanswered_watches == 0
             && !awaits_proof;
-        life.watching = Some(now);
-        life.has_news = false;
-        let last_seen = life.take_acknowledgement();
+        worker.watching = Some(now);
+        worker.has_pending_watch = false;
+        let last_seen = worker.take_acknowledgement();
         let lease_until = is_renewing.then(|| self.renew(now));
         let kind = OrderKind::Watch {
             last_seen,
@@ -82,27 +82,27 @@
         answer: Result<WatchAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_present(name) {
+        if !self.is_current(name) {
             return;
         }
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let asked = life.watching.take().unwrap_or(now);
+        let asked = worker.watching.take().unwrap_or(now);
         match answer {
             Err(OrderFailure::LifeOver) => {
-                self.on_life_over(now, name, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, name, LifeEnd::Superseded, effects);
             }
             // A process that has died listens no more. One that leaves may close its door first
             // and run on, so its leases are left to lapse.
-            Err(OrderFailure::Refused) if !life.is_leaving() => {
-                self.on_life_over(now, name, LifeEnd::Crashed, effects);
+            Err(OrderFailure::Refused) if !worker.is_leaving() => {
+                self.on_incarnation_ended(now, name, LifeEnd::Crashed, effects);
             }
             Err(OrderFailure::NoAnswer | OrderFailure::Refused) => {
-                life.unanswered_watches += 1;
-                life.watch_from = now.after(watch_pause(life.unanswered_watches));
-                if life.unanswered_watches == 1 {
-                    let life = life.name.clone();
+                worker.unanswered_watches += 1;
+                worker.watch_from = now.after(watch_retry_delay(worker.unanswered_watches));
+                if worker.unanswered_watches == 1 {
+                    let life = worker.name.clone();
                     effects.push(AgentEffect::Decided(AgentDecision::WorkerSilent { life }));
                 }
             }
@@ -117,24 +117,24 @@
         answer: WatchAnswer,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        if let Some(born) = life.other_birth(asked, answer.born) {
+        if let Some(born) = worker.detected_restart(asked, answer.born) {
             // Its lists answer an order for the life before. The next watch has the token that
             // fences off whatever is still under way for that.
-            let shown = answer.lists.as_ref().map(WorkerLists::shown);
-            self.on_reborn(now, born, &shown.unwrap_or_default(), effects);
-            self.note_clock(now, answer.clock);
+            let listed = answer.lists.as_ref().map(WorkerLists::listed);
+            self.on_restarted(now, born, &listed.unwrap_or_default(), effects);
+            self.update_clock(now, answer.clock);
             return;
         }
-        life.unanswered_watches = 0;
-        life.lapsed.clear();
-        self.dismiss_challenger(asked, effects);
-        self.note_clock(now, answer.clock);
+        worker.unanswered_watches = 0;
+        worker.expired_tasks.clear();
+        self.dismiss_successor(asked, effects);
+        self.update_clock(now, answer.clock);
         match answer.lists {
             Ok(lists) => {
-                self.note_acknowledged();
+                self.confirm_acknowledged();
                 self.on_lists(now, asked, &lists, effects);
             }
             Err(Rejection::Fenced) => self.raise_token(),
@@ -143,9 +143,9 @@
     }
 
     /// The worker has done what the latest watch told it.
-    fn note_acknowledged(&mut self) {
-        if let Some(life) = &mut self.life {
-            life.acknowledged = life.acknowledged.max(life.told_seen);
+    fn confirm_acknowledged(&mut self) {
+        if let Some(worker) = &mut self.worker {
+            worker.acknowledged = worker.acknowledged.max(worker.last_seen_sent);
         }
     }
 
@@ -166,35 +166,35 @@
         if lists.unreadable == 0 {
             self.end_unlisted(now, asked, &running, effects);
         }
-        self.end_held_starts(now, effects);
-        let Some(life) = &mut self.life else {
+        self.discard_held_starts(now, effects);
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        life.foreign.retain(|run, _| running.contains(run));
-        life.has_synced = true;
-        if life.foreign.is_empty() && !life.told_in_control {
-            life.told_in_control = true;
+        worker.orphans.retain(|run, _| running.contains(run));
+        worker.has_synced = true;
+        if worker.orphans.is_empty() && !worker.has_logged_control {
+            worker.has_logged_control = true;
             let decision = AgentDecision::InControl {
-                life: life.name.clone(),
-                token: life.token,
+                life: worker.name.clone(),
+                token: worker.token,
             };
             effects.push(AgentEffect::Decided(decision));
         }
     }
 
     fn on_listed_end(&mut self, now: Timestamp, end: &WorkerEnd, effects: &mut Vec<AgentEffect>) {
-        if let Some(life) = &mut self.life {
-            life.has_news |= end.number > life.last_seen;
-            life.last_seen = life.last_seen.max(end.number);
+        if let Some(worker) = &mut self.worker {
+            worker.has_pending_watch |= end.number > worker.last_seen;
+            worker.last_seen = worker.last_seen.max(end.number);
         }
-        let Some(run) = self.ledger.run(end.run) else {
+        let Some(run) = self.runs.run(end.run) else {
             return;
         };
-        let how = self.judge_end(now, run.state, end.how);
+        let how = self.classify_end(now, run.state, end.how);
         self.end_run(now, end.run.task, how, EndProof::Listed, effects);
     }
 
-    fn judge_end(&mut self, now: Timestamp, state: RunState, how: WorkerEndKind) -> EndKind {
+    fn classify_end(&mut self, now: Timestamp, state: RunState, how: WorkerEndKind) -> EndKind {
         match (how, state) {
             (WorkerEndKind::Done, _) => EndKind::Done,
             (WorkerEndKind::Failed, _) => {
@@ -217,43 +217,43 @@
         percent: u32,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.run(id) else {
-            self.stop_foreign(now, id, effects);
+        let Some(run) = self.runs.run(id) else {
+            self.stop_orphan(now, id, effects);
             return;
         };
         let (state, old_percent, life) = (run.state, run.percent, run.life);
         if state == RunState::Starting {
             // The answer to its start is late or lost; the list proves it.
-            self.note_running(now, id.task);
+            self.mark_running(now, id.task);
         }
-        self.ledger.confirm(id);
-        if life != self.life_number {
+        self.runs.confirm(id);
+        if life != self.incarnation_number {
             // Its lease is by the clock of the life before, and may last longer than any.
             self.stop_run(now, id.task, StopReason::LifeChanged, effects);
             return;
         }
         let clock = self.worker_clock(now);
         if percent > old_percent {
-            self.ledger.note(id.task, |run| {
+            self.runs.note(id.task, |run| {
                 run.percent = percent;
                 run.progressed = clock;
             });
         }
-        self.judge_progress(now, clock, id.task, effects);
+        self.check_progress(now, clock, id.task, effects);
     }
 
     /// A run at the worker that is not in the ledger: nobody answers for it,
     /// and its room is unknown. It is stopped, and nothing starts until then.
-    fn stop_foreign(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &mut self.life else {
+    fn stop_orphan(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let is_due = life
-            .foreign
+        let is_due = worker
+            .orphans
             .get(&id)
-            .is_none_or(|sent| now.since(*sent) >= FOREIGN_STOP_PAUSE);
+            .is_none_or(|sent| now.since(*sent) >= ORPHAN_STOP_INTERVAL);
         if is_due {
-            life.foreign.insert(id, now);
+            worker.orphans.insert(id, now);
             self.order(OrderKind::Stop { run: id }, effects);
         }
     }
@@ -267,9 +267,9 @@
         running: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let present = self.life_number;
+        let present = self.incarnation_number;
         let over: Vec<(TaskId, EndKind)> = self
-            .ledger
+            .runs
             .iter()
             .filter(|(task, run)| !running.contains(&run.id(*task)))
             .filter_map(|(task, run)| Some((task, end_if_unlisted(asked, run, present)?)))
@@ -282,69 +282,70 @@
     /// A silent worker has let everything lapse once the last renewal is old
     /// enough; gateways may repeat it. Its room stays unknown, so nothing
     /// starts there until its lists have come.
-    pub(super) fn end_lapsed(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let has_lapsed =
-            |life: &Life| life.is_left_to_lapse() && now >= lease_over_at(life.renewed);
-        if !self.life.as_ref().is_some_and(has_lapsed) {
+    pub(super) fn end_expired_runs(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        let has_expired = |worker: &WorkerState| {
+            worker.is_lease_expiring() && now >= lease_expired_at(worker.renewed)
+        };
+        if !self.worker.as_ref().is_some_and(has_expired) {
             return;
         }
-        let tasks = self.lapsing_tasks();
-        let Some(life) = &mut self.life else {
+        let tasks = self.expiring_tasks();
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        life.has_synced &= !life.is_silent();
-        let lapsed = tasks.iter().map(|task| CrashedTask {
+        worker.has_synced &= !worker.is_silent();
+        let expired_tasks = tasks.iter().map(|task| CrashedTask {
             task: *task,
             is_early: false,
         });
-        life.lapsed.extend(lapsed);
+        worker.expired_tasks.extend(expired_tasks);
         for task in tasks {
             self.end_run(now, task, EndKind::Lost, EndProof::LeaseOver, effects);
         }
-        self.give_way(now, effects);
+        self.replace_expired_incarnation(now, effects);
     }
 
     /// When a watch or stop may be sent again.
-    pub(super) fn repeat_at(&self, now: Timestamp) -> impl Iterator<Item = Timestamp> {
-        let watch = self.life.as_ref().map(|life| life.watch_from);
+    pub(super) fn retry_at(&self, now: Timestamp) -> impl Iterator<Item = Timestamp> {
+        let watch = self.worker.as_ref().map(|worker| worker.watch_from);
         let watch = watch.filter(|from| *from > now);
-        let stops = self.ledger.iter().filter_map(|(_, run)| run.stop_again);
+        let stops = self.runs.iter().filter_map(|(_, run)| run.retry_stop_at);
         stops.chain(watch)
     }
 
     /// When [`Self::end_lapsed`] has something to do.
-    pub(super) fn lapse_at(&self) -> Option<Timestamp> {
-        let life = self.life.as_ref()?;
-        let is_lapsing = life.is_left_to_lapse() && !self.lapsing_tasks().is_empty();
-        is_lapsing.then(|| lease_over_at(life.renewed))
+    pub(super) fn lease_expiry_at(&self) -> Option<Timestamp> {
+        let worker = self.worker.as_ref()?;
+        let is_expiring = worker.is_lease_expiring() && !self.expiring_tasks().is_empty();
+        is_expiring.then(|| lease_expired_at(worker.renewed))
     }
 
     /// Tasks that are over once the lease is. The start of a run that nothing shows to have
     /// been carried out is not, where the worker may have started again under its id: its lease
     /// is by a clock that has begun anew.
-    fn lapsing_tasks(&self) -> Vec<TaskId> {
-        let life = self.life.as_ref();
-        let may_return = life.is_some_and(|life| life.name.may_return());
-        self.ledger
+    fn expiring_tasks(&self) -> Vec<TaskId> {
+        let worker = self.worker.as_ref();
+        let may_return = worker.is_some_and(|worker| worker.name.may_return());
+        self.runs
             .tasks_where(|run| run.takes_room() && !(may_return && run.is_unconfirmed()))
     }
 }
 
-impl Life {
+impl WorkerState {
     /// Whether its lease is renewed no more: the worker is silent, or has deregistered.
-    fn is_left_to_lapse(&self) -> bool {
+    fn is_lease_expiring(&self) -> bool {
         self.is_silent() || self.has_deregistered()
     }
 
     fn is_silent(&self) -> bool {
-        self.unanswered_watches >= UNANSWERED_WATCHES
+        self.unanswered_watches >= SILENT_WATCHES
     }
 
     /// The number up to which the worker may forget its ends; 0 if it has been told. What it
     /// knows is not said again: a process that has started again under the id, unseen as yet,
     /// would forget its own first ends.
     fn take_acknowledgement(&mut self) -> u64 {
-        self.told_seen = self.last_seen;
+        self.last_seen_sent = self.last_seen;
         if self.last_seen > self.acknowledged {
             self.last_seen
         } else {
@@ -353,16 +354,16 @@
     }
 }
 
-fn watch_pause(unanswered: u32) -> Span {
+fn watch_retry_delay(unanswered: u32) -> Span {
     match unanswered.checked_sub(2) {
         None => Span::default(),
-        Some(doublings) => Span(WATCH_PAUSE.0 << doublings.min(WATCH_DOUBLINGS)),
+        Some(doublings) => Span(WATCH_RETRY_DELAY.0 << doublings.min(MAX_WATCH_DOUBLINGS)),
     }
 }
 
 /// How a run has ended that the worker in its `present` life, asked at `asked`, does not list;
 /// `None` if it may yet be listed.
-fn end_if_unlisted(asked: Timestamp, run: &Run, present: LifeNumber) -> Option<EndKind> {
+fn end_if_unlisted(asked: Timestamp, run: &Run, present: IncarnationNumber) -> Option<EndKind> {
     match run.state {
         RunState::Waiting | RunState::Starting => None,
         RunState::Running { since } => (since < asked).then_some(EndKind::Lost),
@@ -382,7 +383,7 @@
 
 fn end_of_stop(reason: StopReason) -> EndKind {
     match reason {
-        StopReason::Asked
+        StopReason::Requested
         | StopReason::OwnerSilent
         | StopReason::AgentStops
         | StopReason::WorkerLeaves => EndKind::Stopped,
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -99,7 +99,7 @@
 
 impl WorkerLists {
     /// All runs that they name.
-    pub fn shown(&self) -> BTreeSet<RunId> {
+    pub fn listed(&self) -> BTreeSet<RunId> {
         let running = self.running.iter().map(|(run, _)| *run);
         running
             .chain(self.ended.iter().map(|end| end.run))
