--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -1,8 +1,7 @@
-//! The crashes of an agent's worker, and which gateways have been told of them.
+//! Recent crashes of the worker, reported to every gateway that opens a session.
 //!
-//! Gateways forget with their process. An agent keeps the last crashes and tells every
-//! gateway that opens a session, so that a job that is handed in again after its gateway
-//! was lost finds them known.
+//! Gateways keep their crash records in memory only. Because the agent replays its own, a job
+//! that is resubmitted after its gateway was lost still finds the earlier crashes on record.
 
 use std::collections::VecDeque;
 
@@ -13,16 +12,16 @@
 use super::ledger::Run;
 use super::{LeasedAgent, LifeEnd};
 
-/// Crashes of the worker that are kept. A worker is away for seconds after each, and
-/// gateways remember crashes for a minute.
+/// Number of crashes kept. A worker is down for seconds after each crash, and gateways keep
+/// crash records for a minute.
 const MAX_CRASHES: usize = 16;
 
-/// A crash within this part of a run's estimate is early, and so is any within
-/// [`SURELY_EARLY`], the time in which agents notice.
+/// A crash counts as early if the run's age is at most its estimate divided by this, or at most
+/// [`MIN_EARLY_AGE`], the time that an agent takes to notice a crash.
 const EARLY_ESTIMATE_DIVISOR: u64 = 16;
 const MIN_EARLY_AGE: Span = Span::from_millis(25);
 
-/// The last crashes, each with a number that rises from 1.
+/// The most recent crashes, numbered consecutively from 1.
 #[derive(Debug, Default)]
 pub struct CrashHistory {
     crashes: VecDeque<WorkerCrash>,
@@ -38,21 +37,21 @@
         }
     }
 
-    /// Number of the last crash; 0 if there was none.
+    /// Number of the most recent crash; 0 if there was none.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// The crashes after the one of number `told`, as far as they are kept.
-    pub fn after(&self, told: u64) -> Vec<WorkerCrash> {
-        let news = usize::try_from(self.last.saturating_sub(told)).unwrap_or(usize::MAX);
-        let known = self.crashes.len().saturating_sub(news);
+    /// The crashes numbered above `number` that are still kept.
+    pub fn after(&self, number: u64) -> Vec<WorkerCrash> {
+        let newer = usize::try_from(self.last.saturating_sub(number)).unwrap_or(usize::MAX);
+        let known = self.crashes.len().saturating_sub(newer);
         self.crashes.range(known..).cloned().collect()
     }
 }
 
-/// Whether a worker that dies when a run of it has this `age` dies early. A run of which nothing
-/// shows that it was started may never have come.
+/// Whether a worker crash counts as early for a run of this `age`. Never true for a run whose
+/// start is unconfirmed: the worker may not have received it.
 pub fn is_early(run: &Run, age: Span) -> bool {
     if run.is_unconfirmed() {
         return false;
@@ -64,8 +63,8 @@
 }
 
 impl LeasedAgent {
-    /// Notes how a life has ended that had begun `tasks`. It has crashed unless the worker
-    /// had said that it leaves: then its tasks have nothing to do with it.
+    /// Records a crash of the incarnation that had started `tasks`, unless it had announced its
+    /// shutdown by draining or deregistering.
     pub(super) fn record_crash(
         &mut self,
         life: &LifeName,
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -1,4 +1,4 @@
-//! The deregistration of a worker: it ends once that is answered.
+//! Deregistration of a worker. The worker exits once its deregistration is answered.
 
 use std::sync::Arc;
 
@@ -9,32 +9,33 @@
 use super::life::WorkerState;
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd};
 
-/// How long the answer to a deregistration is held back until what runs there has been stopped. The
-/// worker takes an answer within a second for an answer.
+/// Longest time that the answer to a deregistration is delayed while runs are stopped. The
+/// worker waits for an answer for one second.
 const DEREGISTRATION_ANSWER_TIMEOUT: Span = Span::from_millis(800);
 
-/// A deregistration under the id of the worker's present life.
+/// A deregistration received under the id of the worker's current incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct Deregistration {
     since: Timestamp,
     is_answered: bool,
-    /// Whether it is this life's. It names the id alone, and may be a late one of the life
-    /// before: a worker that leaves says that it drains first.
+    /// Whether the current incarnation sent it. A deregistration carries only the worker id, so
+    /// it may be a delayed one from the previous incarnation; a worker that shuts down announces
+    /// that it is draining first.
     is_confirmed: bool,
 }
 
 impl Deregistration {
-    /// When the lease of its life is over, which is renewed no more.
+    /// When the lease of the deregistered incarnation has expired; it is not renewed any more.
     fn expires_at(&self, renewed: Timestamp) -> Timestamp {
         lease_expired_at(renewed.max(self.since))
     }
 
-    /// When it is answered at the latest, unless it has been.
+    /// Deadline for the answer; `None` once it is answered.
     fn answer_due(&self) -> Option<Timestamp> {
         (!self.is_answered).then(|| self.since.after(DEREGISTRATION_ANSWER_TIMEOUT))
     }
 
-    /// Answers it, unless it has been.
+    /// Answers the deregistration unless that has been done.
     pub fn answer(&mut self, id: &Arc<str>, effects: &mut Vec<AgentEffect>) {
         if !std::mem::replace(&mut self.is_answered, true) {
             effects.push(AgentEffect::AnswerDeregistration(Arc::clone(id)));
@@ -43,7 +44,7 @@
 }
 
 impl WorkerState {
-    /// Whether it has said that it ends.
+    /// Whether a deregistration of this incarnation is confirmed.
     pub fn has_deregistered(&self) -> bool {
         let deregistration = self.deregistration.as_ref();
         deregistration.is_some_and(|deregistration| deregistration.is_confirmed)
@@ -51,25 +52,29 @@
 }
 
 impl LeasedAgent {
-    /// The worker says that it ends. Its process is still up, and what runs there runs on until it
-    /// is gone: told as lost at once, tasks were at work on two workers for up to 50 ms (seconds
-    /// where the answer got lost). So its runs are stopped, their leases renewed no more, and
-    /// the deregistration is answered when their ends are proved.
+    /// Handles a deregistration. The worker's process is still up and its runs continue until it
+    /// exits. Reporting them as lost at once would let the same task run on two workers, so the
+    /// runs are stopped, their leases are not renewed, and the deregistration is answered once
+    /// all of them are known to have ended.
     ///
-    /// If the life has not said that it drains, nothing starts there until its next heartbeat
-    /// tells whose word this was.
+    /// If the incarnation has not announced that it is draining, nothing starts there until its
+    /// next heartbeat shows whether the deregistration came from it.
     pub(super) fn on_deregistration(
         &mut self,
         now: Timestamp,
         id: &Arc<str>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(worker) = self.worker.as_mut().filter(|worker| worker.name.id == *id) else {
+        let Some(worker) = self
+            .worker
+            .as_mut()
+            .filter(|worker| worker.incarnation.id == *id)
+        else {
             effects.push(AgentEffect::AnswerDeregistration(Arc::clone(id)));
-            self.past_incarnations.note_deregistered_id(now, id);
+            self.past_incarnations.record_deregistered_id(now, id);
             return;
         };
-        let is_confirmed = worker.draining || !worker.name.may_return();
+        let is_confirmed = worker.draining || !worker.incarnation.may_return();
         worker.deregistration.get_or_insert(Deregistration {
             since: now,
             is_answered: false,
@@ -80,7 +85,7 @@
         }
     }
 
-    /// The present life leaves: what runs there is stopped.
+    /// Stops all runs of the current incarnation, which is about to exit.
     fn confirm_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -98,8 +103,8 @@
         }
     }
 
-    /// The present life says, in a heartbeat that is not late, whether it drains: so it tells whose
-    /// a deregistration was that came before.
+    /// Uses the draining flag of an in-order heartbeat to decide whether a pending
+    /// deregistration came from the current incarnation.
     pub(super) fn resolve_deregistration(
         &mut self,
         now: Timestamp,
@@ -119,15 +124,15 @@
             self.confirm_deregistration(now, effects);
             return;
         }
-        deregistration.answer(&worker.name.id, effects);
+        deregistration.answer(&worker.incarnation.id, effects);
         worker.deregistration = None;
-        let life = worker.name.clone();
+        let life = worker.incarnation.clone();
         effects.push(AgentEffect::Decided(AgentDecision::LateDeregistration {
             life,
         }));
     }
 
-    /// Answers a deregistration, and ends the life, once nothing runs there.
+    /// Answers the deregistration and ends the incarnation once nothing runs there.
     pub(super) fn finish_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -143,14 +148,14 @@
         if !is_over && !is_due {
             return;
         }
-        deregistration.answer(&worker.name.id, effects);
+        deregistration.answer(&worker.incarnation.id, effects);
         if is_over {
-            let name = worker.name.clone();
+            let name = worker.incarnation.clone();
             self.on_incarnation_ended(now, &name, LifeEnd::Deregistered, effects);
         }
     }
 
-    /// When [`Self::finish_deregistration`] has something to do, if nothing happens before.
+    /// When [`Self::finish_deregistration`] is next due without further events.
     pub(super) fn deregistration_wakeup(&self) -> Option<Timestamp> {
         let worker = self.worker.as_ref()?;
         let deregistration = worker.deregistration?;
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -1,4 +1,4 @@
-//! What goes into an agent's machine and what comes out of it.
+//! Inputs and outputs of the agent's state machine.
 
 use std::sync::Arc;
 
@@ -16,70 +16,70 @@
 };
 use crate::session::SessionId;
 
-/// What happens to an agent.
+/// An input to the agent's state machine.
 #[derive(Debug)]
 pub enum AgentEvent {
-    /// A session to a gateway is open.
+    /// A session to a gateway was opened.
     Opened {
-        /// The session.
+        /// The new session.
         session: SessionId,
         /// Incarnation of the gateway.
         gateway: Incarnation,
     },
-    /// A session is closed.
+    /// A session was closed.
     Closed {
-        /// The session.
+        /// The closed session.
         session: SessionId,
     },
-    /// The process that `gateway` was has ended: its host refused a connection.
+    /// The gateway process has ended: its host refused a connection.
     GatewayEnded {
         /// Incarnation of the gateway.
         gateway: Incarnation,
     },
-    /// A message came.
+    /// A message arrived.
     Message {
-        /// Session on which it came.
+        /// Session on which it arrived.
         session: SessionId,
         /// The message.
         message: ToAgent,
     },
-    /// The worker has registered, or sent a heartbeat.
+    /// The worker registered or sent a heartbeat.
     Registered(Registration),
-    /// What an earlier agent here was told last; the worker may have a new life
+    /// The record that an earlier agent of this worker left. The worker may have restarted
     /// since.
     Recalled(Registration),
-    /// The worker deregisters: it ends once that is answered, or some seconds later. Which of
-    /// its lives does is not said.
+    /// The worker deregistered. It exits once that is answered, or some seconds later. The
+    /// request does not say which incarnation sent it.
     Deregistration {
-        /// The worker's id.
+        /// Id of the worker.
         id: Arc<str>,
     },
-    /// A start was answered, or not.
+    /// A start command completed or failed.
     StartAnswered {
-        /// The run.
+        /// The run to start.
         run: RunId,
-        /// Life that the order was for.
+        /// Incarnation that the command was addressed to.
         life: LifeName,
-        /// The answer.
+        /// The worker's answer, or why there is none.
         answer: Result<OrderAnswer, OrderFailure>,
     },
-    /// A stop was answered, or not.
+    /// A stop command completed or failed.
     StopAnswered {
-        /// The run.
+        /// The run to stop.
         run: RunId,
-        /// Life that the order was for.
+        /// Incarnation that the command was addressed to.
         life: LifeName,
-        /// The answer.
+        /// The worker's answer, or why there is none.
         answer: Result<OrderAnswer, OrderFailure>,
     },
-    /// The worker's lists came, or did not.
+    /// A watch completed or failed.
     Watched {
-        /// Life that was asked.
+        /// Incarnation that the command was addressed to.
         life: LifeName,
-        /// The answer.
+        /// The worker's answer, or why there is none.
         answer: Result<WatchAnswer, OrderFailure>,
     },
-    /// The process is asked to stop in a planned way.
+    /// A graceful shutdown of the agent was requested.
     Stop,
     /// Time has passed.
     Tick,
@@ -88,105 +88,106 @@
 /// A worker's answer to a start or stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderAnswer {
-    /// The worker's clock, if the answer tells it.
+    /// The worker's clock; `None` if the answer does not carry it.
     pub clock: Option<WorkerClock>,
-    /// Why nothing was done; `None` if it was done.
+    /// Why the command had no effect; `None` if it was carried out.
     pub rejection: Option<Rejection>,
 }
 
 /// A worker's answer to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchAnswer {
-    /// The worker's clock, if the answer tells it.
+    /// The worker's clock; `None` if the answer does not carry it.
     pub clock: Option<WorkerClock>,
-    /// When the process began that answers, if it tells.
+    /// Start time of the answering process; `None` if the answer does not carry it.
     pub born: Option<Born>,
-    /// Its lists, or why there are none.
+    /// The worker's run lists, or why it rejected the watch.
     pub lists: Result<WorkerLists, Rejection>,
 }
 
-/// Orders for the worker, all of one life and with one token.
+/// A command for one incarnation of the worker.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Life of the worker that is meant.
+    /// Incarnation that the command is addressed to.
     pub life: LifeName,
-    /// The agent's token.
+    /// Fencing token of the agent.
     pub token: FenceToken,
-    /// What is ordered.
+    /// What the worker is to do.
     pub kind: OrderKind,
 }
 
-/// An order for the worker.
+/// The operations that an agent can request from its worker.
 #[derive(Clone, Debug)]
 pub enum OrderKind {
     /// Start a run.
     Start {
-        /// The run.
+        /// The run to start.
         run: RunId,
         /// Input of its job.
         input: JobInput,
         /// End of the lease, on the worker's clock.
         lease_until: WorkerClock,
     },
-    /// Stop a run, and never start it.
+    /// Stop a run, and reject any later start of it.
     Stop {
-        /// The run.
+        /// The run to stop.
         run: RunId,
     },
-    /// Renew the lease of everything, and wait for an end.
+    /// Renew the lease of all runs and wait for a run to end.
     Watch {
-        /// Highest number of an end that was taken in.
+        /// Highest entry number of an ended run that the worker may discard; 0 if there is
+        /// nothing new to acknowledge.
         last_seen: u64,
-        /// End of the lease on the worker's clock, if it is to be renewed.
+        /// End of the lease on the worker's clock; `None` if it is not renewed.
         lease_until: Option<WorkerClock>,
-        /// How long the worker may wait for an end.
+        /// Longest time that the worker may wait for a run to end before it answers.
         wait: Span,
     },
 }
 
-/// What an agent wants done.
+/// An action that the driver of the state machine carries out.
 #[derive(Debug)]
 pub enum AgentEffect {
     /// Send a message.
     Send {
-        /// The session.
+        /// Session to send it on.
         session: SessionId,
         /// The message.
         message: FromAgent,
     },
     /// Close a session.
     Close(SessionId),
-    /// Give the worker an order; an event with its answer must follow.
+    /// Send a command to the worker; an event with the result must follow.
     Order(Order),
-    /// A gateway told of the gateways that it knows.
+    /// Gateways that another gateway has announced.
     Members(Vec<Member>),
-    /// A later agent must know this. It takes the place of what was to be known before.
+    /// Replace the stored record of the worker, which the next agent reads at start.
     Remember(KnownLife),
-    /// The deregistration of the worker of that id may be answered.
+    /// Answer the deregistration of the worker with this id.
     AnswerDeregistration(Arc<str>),
-    /// Something was decided that operators may want to know.
+    /// Report a decision to the log and the metrics.
     Decided(AgentDecision),
-    /// Nothing runs any more; the process may exit.
+    /// The graceful shutdown is complete; the process may exit.
     Stopped,
 }
 
-/// How an agent learns that a life of its worker is over.
+/// How an agent learned that an incarnation of its worker has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeEnd {
-    /// Its host refuses connections: the process died.
+    /// The worker's host refused a connection.
     Crashed,
-    /// A worker with another id answers in its place.
+    /// A worker with another id answered in its place.
     Superseded,
-    /// The worker answers, and tells another birth: it has started again under its id.
+    /// The worker answered with another start time: it has restarted under the same id.
     Reborn,
-    /// The worker said so itself, and nothing runs there any more.
+    /// The worker deregistered, and none of its runs is left.
     Deregistered,
-    /// It was silent until its runs had lapsed, and another life has registered.
+    /// The worker was silent until its leases expired, and another incarnation has registered.
     Replaced,
 }
 
 impl LifeEnd {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Crashed => "crashed",
@@ -198,20 +199,20 @@
     }
 }
 
-/// How an agent learns of a life of its worker.
+/// How an agent learned of an incarnation of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifeSource {
-    /// The worker said so.
+    /// A registration or heartbeat of the worker.
     Heartbeat,
-    /// An earlier agent left word of it.
+    /// The record that an earlier agent left.
     Record,
-    /// The worker's lists tell another birth than that of the life before. Nothing else is
-    /// known of it until its first heartbeat.
+    /// The worker's run lists carried a new start time. Nothing else is known of the incarnation
+    /// until its first heartbeat.
     Lists,
 }
 
 impl LifeSource {
-    /// Its name in logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Heartbeat => "heartbeat",
@@ -221,21 +222,21 @@
     }
 }
 
-/// Why nothing of what a heartbeat says is heeded.
+/// Why the contents of a heartbeat are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IgnoredHeartbeat {
-    /// The life that it names has ended, and another is present.
+    /// Its incarnation has ended, and another one is current.
     EndedLife,
-    /// The life that it names has deregistered.
+    /// Its incarnation has deregistered.
     DeregisteredLife,
-    /// It tells no birth, where the worker's present life does.
+    /// It carries no start time, but the current incarnation has one.
     NoBirth,
     /// It names another service than the worker's.
     OtherService,
 }
 
 impl IgnoredHeartbeat {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::EndedLife => "ended_life",
@@ -246,7 +247,7 @@
     }
 }
 
-/// A run that ended with its worker's life.
+/// A run that ended together with its worker's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostRun {
     /// The run.
@@ -255,142 +256,142 @@
     pub age: Span,
 }
 
-/// A decision of the agent, for the logs.
+/// A decision of the agent, reported to the log and the metrics.
 #[derive(Clone, Debug)]
 pub enum AgentDecision {
-    /// A gateway did not answer an offer of room in time.
+    /// A gateway did not answer an offer in time.
     OfferExpired,
-    /// A worker's life is under this agent's control.
+    /// The agent has taken control of an incarnation of the worker: every run there is its own.
     InControl {
-        /// The life.
+        /// The controlled incarnation.
         life: LifeName,
-        /// The token.
+        /// Fencing token of the agent's commands.
         token: FenceToken,
     },
-    /// A life of the worker is the present one from now on.
+    /// An incarnation of the worker became the current one.
     LifeBegan {
-        /// The life.
+        /// The new incarnation.
         life: LifeName,
-        /// How it became known.
+        /// How the agent learned of it.
         source: LifeSource,
-        /// Whether it drains.
+        /// Whether it is draining.
         draining: bool,
     },
-    /// A heartbeat was answered, and nothing of what it says is heeded.
+    /// A heartbeat was answered, and its contents were ignored.
     HeartbeatIgnored {
-        /// The life that it names.
+        /// Incarnation that it names.
         life: LifeName,
-        /// Why.
+        /// Why it was ignored.
         reason: IgnoredHeartbeat,
-        /// Whether it says that the worker drains.
+        /// Whether it reports the worker as draining.
         draining: bool,
-        /// Its number.
+        /// Sequence number of the heartbeat.
         sequence: u64,
     },
-    /// The worker has said nothing of itself for so long that its room is not relied on:
-    /// nothing starts there until it does.
+    /// No heartbeat has arrived for so long that the worker's capacity may be out of date.
+    /// Nothing starts there until the next one.
     RoomAged {
-        /// The life.
+        /// The current incarnation.
         life: LifeName,
     },
-    /// A start had no answer when the worker's life ended. It may yet be carried out by the
-    /// next life under the id, so its task is not repeated before that is ruled out.
+    /// A start was unanswered when the worker's incarnation ended. The next incarnation under
+    /// the same id may still carry it out, so the task is not repeated until that is ruled out.
     StartHeld {
-        /// The run.
+        /// The held run.
         run: RunId,
     },
-    /// A deregistration was that of an earlier life: the present one goes on.
+    /// A deregistration came from an earlier incarnation and is disregarded.
     LateDeregistration {
-        /// The present life.
+        /// The current incarnation.
         life: LifeName,
     },
-    /// A heartbeat came of a life that has ended: the present one still answers.
+    /// A delayed heartbeat of an ended incarnation arrived while the current one still answers.
     LateHeartbeat {
-        /// The ended life.
+        /// The ended incarnation.
         life: LifeName,
-        /// The present life.
+        /// The current incarnation.
         present: LifeName,
     },
-    /// Nothing came over a session for so long that it was closed.
+    /// A session was closed because nothing arrived on it.
     SessionSilent {
-        /// Incarnation of its gateway.
+        /// Incarnation of the gateway.
         gateway: Incarnation,
-        /// How long.
+        /// Age of the gateway's latest echo.
         silence: Span,
     },
-    /// A gateway has a session again that has runs here.
+    /// A gateway that owns runs here has opened a new session.
     SessionResumed {
         /// Incarnation of the gateway.
         gateway: Incarnation,
-        /// Age of the latest reading of the agent's clock that it has sent back.
+        /// Age of the latest reading of the agent's clock that the gateway has echoed.
         silence: Span,
-        /// Its runs.
+        /// Number of its runs.
         runs: usize,
     },
-    /// A stop of a run has got no answer for longer than a stop may take.
+    /// A stop has been unanswered for longer than a stop may take.
     StopUnanswered {
         /// The run.
         run: RunId,
-        /// Why it is stopped.
+        /// Why it is being stopped.
         reason: &'static str,
         /// Time since the first stop was sent.
         age: Span,
-        /// Stops without an answer.
+        /// Number of stops without an answer.
         stops: u32,
     },
-    /// A worker's life is over.
+    /// An incarnation of the worker has ended.
     LifeOver {
-        /// The life.
+        /// The ended incarnation.
         life: LifeName,
-        /// How that became known.
+        /// How the agent learned of the end.
         end: LifeEnd,
         /// Runs that ended with it.
         runs: Vec<LostRun>,
     },
-    /// The worker has another room than before.
+    /// The worker reported a changed capacity.
     CapacityChanged {
-        /// The life.
+        /// The current incarnation.
         life: LifeName,
-        /// The room before.
+        /// Capacity before the change.
         before: Room,
-        /// The room now.
+        /// Capacity after the change.
         now: Room,
     },
-    /// The worker drains.
+    /// The worker began to drain.
     Draining {
-        /// The life.
+        /// The draining incarnation.
         life: LifeName,
     },
-    /// The worker's zone was evacuated, or taken back.
+    /// The worker's zone was evacuated, or its evacuation was revoked.
     Evacuated {
-        /// Which of the two.
+        /// Whether it is evacuated now.
         is_evacuated: bool,
-        /// Revision of the store that says so.
+        /// Store revision of the list of evacuated zones.
         revision: u64,
     },
     /// The worker does not answer.
     WorkerSilent {
-        /// The life.
+        /// The current incarnation.
         life: LifeName,
     },
-    /// A run is being stopped for a reason of the agent's own.
+    /// The agent stops a run without a request from its gateway.
     Stopping {
         /// The run.
         run: RunId,
-        /// Why.
+        /// Why it is being stopped.
         reason: &'static str,
-        /// Age of the owner's echo.
+        /// Age of the latest echo of the owning gateway.
         echo_age: Span,
-        /// The run's progress in percent.
+        /// Progress of the run, in percent.
         percent: u32,
     },
-    /// A task did not start, or ended in another way than done.
+    /// A run was not started, or ended other than by completing.
     Ended {
         /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         how: EndKind,
-        /// What proves it.
+        /// Evidence that it has ended.
         proof: EndProof,
     },
 }
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -1,12 +1,12 @@
-//! How well a worker does, judged by its ends and its progress.
+//! Health of a worker, estimated from the results and the progress of its runs.
 //!
-//! A worker that fails or hangs everything looks free and would draw all work.
-//! After a few failures in a row, or tasks that stand still, it is put on
-//! probation: nothing for a while, then one task at a time until one is done. A
-//! slow worker is not: under load what it gets done counts.
+//! A worker that fails or hangs every task always has free resources and would attract all work.
+//! After several failures in a row, or after a stalled task, it is put on probation: no tasks
+//! for a while, then one at a time until one completes. A slow worker is not put on probation,
+//! since under load it still contributes throughput.
 //!
-//! A task may crawl by its own fault, since estimates are rough: while others that
-//! began later are done at a normal pace, the worker is not blamed.
+//! Estimates are rough, so a single task may be slow through no fault of the worker. A slow task
+//! does not count against a worker that completes tasks started later at a normal pace.
 
 use std::collections::VecDeque;
 
@@ -15,42 +15,39 @@
 use super::super::messages::UNLIMITED;
 use super::super::task::JobId;
 
-/// Failures in a row that put a worker on probation.
+/// Consecutive failures that put a worker on probation.
 const PROBATION_FAILURES: u32 = 3;
-/// Failures in a row after which a failure says little of its task.
+/// Consecutive failures from which on a failure is attributed to the worker, not to the task.
 const SUSPECT_FAILURES: u32 = 2;
-/// First pause without work; it doubles with each probe that fails.
+/// First pause of a probation; it doubles with each failed probe.
 const INITIAL_PROBATION: Span = Span::from_millis(400);
-/// Longest pause without work.
 const MAX_PROBATION: Span = Span::from_millis(1_600);
-/// Weight of a new sample of the pace.
+/// Weight of a new sample in the moving average of the pace.
 const PACE_SAMPLE_WEIGHT: f64 = 0.08;
-/// Pace beyond which a worker is called slow.
+/// Ratio of actual to estimated run time above which a worker counts as slow.
 const SLOW_PACE_THRESHOLD: f64 = 2.0;
-/// A slow worker's pace is halved towards 1 after so long without a sample, so
-/// that it is tried again.
+/// Time without a sample after which the excess of a slow worker's pace over 1 is halved, so
+/// that the worker gets tasks again.
 const PACE_HALF_LIFE: Span = Span::from_millis(1_000);
-/// Bounds of a sample of the pace.
+/// Range to which a pace sample is clamped.
 const PACE_BOUNDS: (f64, f64) = (0.2, 20.0);
-/// How long a task that was done at a normal pace proves that its worker is not slow.
-const NORMAL_RUN_WINDOW: Span = Span::from_millis(150);
-/// Most such tasks that are remembered.
+/// How long a run that completed at a normal pace is evidence that its worker is not slow.
+const NORMAL_RUN_TTL: Span = Span::from_millis(150);
 const MAX_NORMAL_RUNS: usize = 8;
 
-/// A task that is done.
+/// A completed run.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedRun {
-    /// Its job.
     pub job: JobId,
     /// When its start was sent.
     pub sent: Timestamp,
-    /// How long it took, by the worker's clock.
+    /// Run time on the worker's clock.
     pub elapsed: Span,
-    /// How long it was guessed to take.
+    /// Estimated run time.
     pub estimate: Span,
 }
 
-/// A task that was done at a normal pace.
+/// A run that completed at a normal pace.
 #[derive(Clone, Copy, Debug)]
 struct NormalRun {
     job: JobId,
@@ -58,7 +55,6 @@
     ended: Timestamp,
 }
 
-/// Health of a worker.
 #[derive(Debug)]
 pub struct Health {
     failures: u32,
@@ -87,7 +83,6 @@
 }
 
 impl Health {
-    /// A task is done.
     pub fn on_done(&mut self, now: Timestamp, run: &FinishedRun) {
         self.failures = 0;
         self.probation = None;
@@ -118,16 +113,14 @@
         });
     }
 
-    /// Whether a task of another job that was started no earlier than `sent` was
-    /// done at a normal pace lately: a task of `job` that crawls does so by its
-    /// own fault.
+    /// Whether a task of another job, started no earlier than `sent`, completed at a normal pace
+    /// recently. If so, a slow task of `job` is not the worker's fault.
     pub fn has_normal_pace_since(&self, now: Timestamp, job: JobId, sent: Timestamp) -> bool {
-        self.normal_runs.iter().any(|end| {
-            end.job != job && end.sent >= sent && now.since(end.ended) <= NORMAL_RUN_WINDOW
-        })
+        self.normal_runs
+            .iter()
+            .any(|end| end.job != job && end.sent >= sent && now.since(end.ended) <= NORMAL_RUN_TTL)
     }
 
-    /// A task failed.
     pub fn on_failed(&mut self, now: Timestamp) {
         self.failures += 1;
         if self.failures >= PROBATION_FAILURES || self.probation.is_some() {
@@ -135,26 +128,25 @@
         }
     }
 
-    /// A task stood still.
     pub fn on_stalled(&mut self, now: Timestamp) {
         self.failures += 1;
         self.start_probation(now);
     }
 
-    /// A task is so slow that it would take `projected` where `estimate` was
-    /// guessed, and nothing shows that the worker is not to blame.
+    /// Records a task that is projected to take `projected` instead of `estimate`, when nothing
+    /// suggests that the task itself is at fault.
     pub fn on_slow(&mut self, now: Timestamp, projected: Span, estimate: Span) {
         let sample = ratio(projected, estimate).clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
         self.pace = self.pace.max(sample);
         self.sampled = now;
     }
 
-    /// Whether a failure is more likely the worker's fault than its task's.
+    /// Whether a failure is more likely the worker's fault than the task's.
     pub fn is_suspect(&self) -> bool {
         self.failures >= SUSPECT_FAILURES || self.probation.is_some()
     }
 
-    /// Most tasks that the worker may have in all, `active` of them now.
+    /// Number of tasks that the worker may hold in total; `active` is how many it holds now.
     pub fn limit(&self, now: Timestamp, active: usize) -> u32 {
         match self.probation {
             None => UNLIMITED,
@@ -163,14 +155,14 @@
         }
     }
 
-    /// When the limit changes by time alone.
+    /// When the limit next changes without further events.
     pub fn next_change(&self, now: Timestamp) -> Option<Timestamp> {
         self.probation
             .map(|probation| probation.until)
             .filter(|until| *until > now)
     }
 
-    /// Run time by the estimates, in percent.
+    /// Ratio of actual to estimated run time, in percent.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -189,7 +181,7 @@
 
     fn start_probation(&mut self, now: Timestamp) {
         let pause = match self.probation {
-            // Several tasks of one moment count once.
+            // Further failures during the pause do not extend it.
             Some(probation) if now < probation.until => return,
             Some(probation) => Span((probation.pause.0 * 2).min(MAX_PROBATION.0)),
             None => INITIAL_PROBATION,
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -1,4 +1,4 @@
-//! The worker's lease: one for all that runs there, renewed by starts and watches.
+//! The worker's lease. It covers all runs of the worker and is renewed by starts and watches.
 
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -8,13 +8,13 @@
 use super::life::WorkerState;
 use super::worker::WorkerClock;
 
-/// When everything is over at a worker whose lease was last renewed at `renewed`.
+/// When every run has ended at a worker whose lease was last renewed at `renewed`.
 pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
     renewed.after(Span(LEASE_AT_MOST.0 + STOP_AT_MOST.0 + 1))
 }
 
 impl LeasedAgent {
-    /// Renews the lease at `now`: its end, on the worker's clock.
+    /// Renews the lease and returns its end on the worker's clock.
     pub(super) fn renew(&mut self, now: Timestamp) -> WorkerClock {
         let renewed = now.min(self.renewable_until());
         let Some(worker) = &mut self.worker else {
@@ -24,12 +24,13 @@
         worker.lease_until(renewed)
     }
 
-    /// Until when the lease may be renewed: for as long as somebody answers for every run.
+    /// Latest time that the lease may be renewed from: as long as every run has a gateway that
+    /// answers for it.
     ///
-    /// A run whose stop is not proved holds it back for all others, since a worker may answer
-    /// its watches and none of its stops: its gateway would hold the run for over after
-    /// [`super::super::timing::LAPSE_AFTER_SILENCE`] while the others' renewals kept it alive.
-    /// A stop takes 50 ms of the 700 ms that a lease lasts, so the others notice nothing.
+    /// A run that is being stopped holds back the renewal for all others: a worker may answer
+    /// watches but no stops, and the run's gateway considers the run over after
+    /// [`super::super::timing::LAPSE_AFTER_SILENCE`], while a renewed lease would keep it alive.
+    /// A stop usually completes long before the lease expires, so other runs are not affected.
     fn renewable_until(&self) -> Timestamp {
         let runs = self.runs.iter().map(|(_, run)| run);
         let ends = runs
@@ -49,8 +50,8 @@
         ends.min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    /// Notes whether a stop takes so long that the lease may run out over it: nothing more is
-    /// started there until it is proved.
+    /// Checks for a stop that takes so long that the lease may expire meanwhile. Nothing starts
+    /// until such a stop is confirmed.
     pub(super) fn check_overdue_stops(&mut self, now: Timestamp) {
         let mut runs = self.runs.iter();
         self.has_overdue_stop = runs.any(|(_, run)| run.is_stop_overdue(now));
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -1,6 +1,6 @@
-//! The runs that an agent answers for, and the room that they take.
+//! The runs that an agent is responsible for, and the resources that they take.
 //!
-//! A run takes room from before its start is sent until its end is proved.
+//! A run takes resources from just before its start is sent until its end is confirmed.
 
 use std::collections::BTreeMap;
 
@@ -17,93 +17,85 @@
 /// Why a run is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its gateway asked.
+    /// Its gateway requested it.
     Requested,
-    /// Its gateway is silent, or gone.
+    /// Its gateway is silent or has ended, or a newer run of the task was requested.
     OwnerSilent,
     /// It makes no progress.
     Stalled,
-    /// It is far slower than estimated.
+    /// It is much slower than estimated.
     TooSlow {
-        /// How long it would take in all.
+        /// Projected total run time.
         projected: Span,
     },
-    /// Its start had no answer.
+    /// Its start was not answered.
     Unanswered,
-    /// The agent stops.
+    /// The agent is shutting down.
     AgentStops,
-    /// The worker has said that it ends.
+    /// The worker is shutting down.
     WorkerLeaves,
-    /// Its start was meant for the life before, with a lease by another clock.
+    /// It was started for an earlier incarnation, with a lease on that incarnation's clock.
     LifeChanged,
 }
 
-/// Where a run stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It waits here for room.
+    /// It waits at the agent for free resources.
     Waiting,
-    /// Its start is on its way.
+    /// Its start was sent and is not answered yet.
     Starting,
-    /// It runs.
     Running {
-        /// When its start was answered.
+        /// When its start was confirmed.
         since: Timestamp,
     },
-    /// Its stop is on its way or carried out; its end is not listed yet.
+    /// Its stop was sent; its end is not confirmed yet.
     Stopping {
-        /// Why.
         reason: StopReason,
-        /// Since when.
+        /// When the first stop was sent.
         since: Timestamp,
         /// When the stop was answered.
         answered: Option<Timestamp>,
     },
 }
 
-/// A run at the worker, or on its way there.
+/// A run that waits at the agent, or that was sent to the worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its number.
     pub number: RunNumber,
-    /// The gateway that it is for.
+    /// Gateway on whose behalf it runs.
     pub owner: Incarnation,
-    /// What it needs.
+    /// Resources that it takes.
     pub room: Room,
-    /// A rough guess of how long it takes.
+    /// Estimated run time.
     pub estimate: Span,
-    /// Input of its job.
     pub input: JobInput,
-    /// Until when it may wait for room.
+    /// How long it may wait for free resources.
     pub wait_until: Timestamp,
     /// When its start was sent.
     pub sent: Timestamp,
-    /// The life to which it was sent.
-    pub life: IncarnationNumber,
-    /// Whether the worker has shown that it has carried the start out.
+    /// Incarnation of the worker that its start was sent to.
+    pub incarnation: IncarnationNumber,
+    /// Whether the worker has confirmed that it carried out the start.
     pub is_confirmed: bool,
-    /// Where it stands.
     pub state: RunState,
-    /// When a stop that got no answer may be sent again.
+    /// When an unanswered stop is sent again.
     pub retry_stop_at: Option<Timestamp>,
-    /// Stops that got no answer.
     pub unanswered_stops: u32,
-    /// Whether the log was told that they take longer than a stop may.
+    /// Whether the overdue stop has been logged.
     pub has_logged_overdue_stop: bool,
-    /// Whether the worker is to run nothing beside it.
+    /// Whether the worker must run nothing else meanwhile.
     pub is_alone: bool,
-    /// Whether its task has stood still on another worker.
+    /// Whether its task has stalled on another worker.
     pub has_stalled: bool,
-    /// Its progress, in percent.
+    /// Progress in percent.
     pub percent: u32,
-    /// When it was started, by the worker's clock.
+    /// When it was started, on the worker's clock.
     pub started: WorkerClock,
-    /// When its progress last grew, by the worker's clock.
+    /// When its progress last increased, on the worker's clock.
     pub progressed: WorkerClock,
 }
 
 impl Run {
-    /// Its name, as the run of `task`.
     pub fn id(&self, task: TaskId) -> RunId {
         RunId {
             task,
@@ -111,17 +103,16 @@
         }
     }
 
-    /// Whether its start was sent, and nothing shows that it was carried out: it may be yet.
+    /// Whether its start was sent but not confirmed, so that the worker may still carry it out.
     pub fn is_unconfirmed(&self) -> bool {
         self.takes_room() && !self.is_confirmed
     }
 
-    /// Whether it takes room at the worker.
     pub fn takes_room(&self) -> bool {
         self.state != RunState::Waiting
     }
 
-    /// Whether it has been stopped for longer than a stop may take.
+    /// Whether its stop takes longer than a stop may.
     pub fn is_stop_overdue(&self, now: Timestamp) -> bool {
         match self.state {
             RunState::Stopping { since, .. } => now.since(since) > STOP_AT_MOST,
@@ -130,7 +121,7 @@
     }
 }
 
-/// All runs of one worker's life.
+/// All runs that an agent is responsible for, with running totals of their resources.
 #[derive(Debug, Default)]
 pub struct RunTable {
     runs: BTreeMap<TaskId, Run>,
@@ -141,24 +132,22 @@
 }
 
 impl RunTable {
-    /// Adds a run. The task must not be here yet.
+    /// Adds a run of a task that has none yet.
     pub fn insert(&mut self, task: TaskId, run: Run) {
         self.count(&run, true);
         let replaced = self.runs.insert(task, run);
         debug_assert!(replaced.is_none());
     }
 
-    /// The run of a task.
     pub fn get(&self, task: TaskId) -> Option<&Run> {
         self.runs.get(&task)
     }
 
-    /// The run `id`, if that very run is here.
+    /// The run `id`; `None` if the task's run has another number.
     pub fn run(&self, id: RunId) -> Option<&Run> {
         self.runs.get(&id.task).filter(|run| run.number == id.run)
     }
 
-    /// Changes the state of a run.
     pub fn set_state(&mut self, task: TaskId, state: RunState) {
         let Some(mut run) = self.runs.remove(&task) else {
             return;
@@ -169,9 +158,9 @@
         self.runs.insert(task, run);
     }
 
-    /// Begins the stop of a run anew, for another life of the worker.
+    /// Restarts the stop of a run for another incarnation of the worker.
     pub fn reset_stop(&mut self, task: TaskId, now: Timestamp) {
-        self.note(task, |run| {
+        self.update(task, |run| {
             if let RunState::Stopping {
                 since, answered, ..
             } = &mut run.state
@@ -184,31 +173,29 @@
         });
     }
 
-    /// The worker has shown that it has carried the start of `id` out.
+    /// Marks the start of `id` as carried out by the worker.
     pub fn confirm(&mut self, id: RunId) {
-        self.note(id.task, |run| run.is_confirmed |= run.number == id.run);
+        self.update(id.task, |run| run.is_confirmed |= run.number == id.run);
     }
 
-    /// Changes what does not touch the room.
-    pub fn note(&mut self, task: TaskId, change: impl FnOnce(&mut Run)) {
+    /// Changes fields of a run that don't affect the totals.
+    pub fn update(&mut self, task: TaskId, change: impl FnOnce(&mut Run)) {
         if let Some(run) = self.runs.get_mut(&task) {
             change(run);
         }
     }
 
-    /// Takes a run out.
     pub fn remove(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
         self.count(&run, false);
         Some(run)
     }
 
-    /// All runs.
     pub fn iter(&self) -> impl Iterator<Item = (TaskId, &Run)> {
         self.runs.iter().map(|(task, run)| (*task, run))
     }
 
-    /// Tasks whose run fulfils `condition`.
+    /// Tasks whose run satisfies `condition`.
     pub fn tasks_where(&self, condition: impl Fn(&Run) -> bool) -> Vec<TaskId> {
         self.iter()
             .filter(|(_, run)| condition(run))
@@ -216,27 +203,25 @@
             .collect()
     }
 
-    /// Whether a run is here that is to be alone.
+    /// Whether there is an exclusive run.
     pub fn has_exclusive(&self) -> bool {
         self.alone > 0
     }
 
-    /// Number of runs.
     pub fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether there is no run.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
 
-    /// Room that runs take at the worker.
+    /// Resources that runs take at the worker.
     pub fn taken(&self) -> Room {
         self.taken
     }
 
-    /// Room that waiting runs will take.
+    /// Resources that waiting runs will take.
     pub fn waiting_room(&self) -> Room {
         self.waiting_room
     }
@@ -246,7 +231,7 @@
         self.waiting
     }
 
-    /// Runs that take room.
+    /// Number of runs that take resources at the worker.
     pub fn active(&self) -> usize {
         self.runs.len() - self.waiting
     }
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -1,4 +1,4 @@
-//! The worker's present life, and how it begins.
+//! State of the worker's current incarnation.
 
 use std::collections::BTreeMap;
 
@@ -15,85 +15,81 @@
 use super::worker::{ClockEstimate, FenceToken, KnownLife, Registration, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeSource};
 
-/// Number of a life, among those that an agent has followed. Runs are marked with that of the
-/// life to which their starts were sent: the next life may have the same id.
+/// Number of an incarnation, counted by the agent. Each run is marked with the number of the
+/// incarnation that its start was sent to, because two incarnations may have the same id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IncarnationNumber(u64);
 
-/// The worker's present life.
+/// The worker's current incarnation.
 #[derive(Debug)]
 pub struct WorkerState {
-    /// Its name.
-    pub name: LifeName,
-    /// Its number.
+    pub incarnation: LifeName,
     pub number: IncarnationNumber,
-    /// How it became known.
+    /// How the agent learned of it.
     pub source: LifeSource,
-    /// The service that it serves.
     pub service: String,
-    /// When a heartbeat last named it.
+    /// When a heartbeat last named this service.
     pub service_confirmed_at: Timestamp,
-    /// Its room.
+    /// Latest reported capacity.
     pub capacity: Room,
-    /// The least that it has been.
+    /// Smallest capacity reported so far.
     pub least_capacity: Room,
-    /// Whether that is less than what it said first.
+    /// Whether the capacity has been smaller than first reported.
     pub has_shrunk: bool,
-    /// Number of the latest heartbeat.
+    /// Sequence number of the latest heartbeat.
     pub sequence: u64,
-    /// Its labels.
     pub labels: Vec<String>,
-    /// The token of orders for it.
+    /// Fencing token of commands to this incarnation.
     pub token: FenceToken,
-    /// Orders that it has fenced off.
+    /// Number of commands rejected as fenced.
     pub fenced: u32,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced its shutdown.
     pub draining: bool,
-    /// Its clock.
     pub clock: ClockEstimate,
-    /// Highest number of an end that was taken in.
+    /// Highest entry number of an ended run that was processed.
     pub last_seen: u64,
-    /// Highest that the latest watch told it of.
+    /// Value of `last_seen` in the latest watch.
     pub last_seen_sent: u64,
-    /// Highest that it is known to have been told of.
+    /// Highest `last_seen` that the worker is known to have received.
     pub acknowledged: u64,
-    /// Lists have come in this life.
+    /// Whether this incarnation's run lists have been received since the last time that they
+    /// were in doubt.
     pub has_synced: bool,
-    /// Whether the log was told that it is under control.
+    /// Whether taking control of it has been logged.
     pub has_logged_control: bool,
-    /// Watches in a row without an answer.
+    /// Consecutive watches without an answer.
     pub unanswered_watches: u32,
-    /// When the watch that is under way was sent.
+    /// When the pending watch was sent; `None` if none is pending.
     pub watching: Option<Timestamp>,
-    /// No watch is sent before this time.
+    /// Earliest time of the next watch.
     pub watch_from: Timestamp,
-    /// When the lease was last renewed.
+    /// Time from which the lease was last renewed.
     pub renewed: Timestamp,
-    /// Runs at the worker that this agent did not start, with the time of the
-    /// last stop that was sent.
+    /// Runs at the worker that the agent does not know, with the time when a stop was last sent.
     pub orphans: BTreeMap<RunId, Timestamp>,
-    /// Ends to be acknowledged to the worker.
+    /// Whether a watch is wanted, to acknowledge ended runs or to check that the worker is
+    /// alive.
     pub has_pending_watch: bool,
-    /// Tasks that it had begun when it fell silent for so long that they have lapsed. It
-    /// may have crashed then, or be cut off.
+    /// Started tasks whose lease expired while the worker was silent. It has either crashed or
+    /// is unreachable.
     pub expired_tasks: Vec<CrashedTask>,
-    /// Another life that has registered since.
+    /// Another incarnation that has registered since.
     pub successor: Option<SuccessorCandidate>,
-    /// Its word that it ends, once it has said that.
+    /// A pending deregistration under its id.
     pub deregistration: Option<Deregistration>,
 }
 
 impl WorkerState {
-    /// Whether it is about to end, as far as it has said: its process may close its door and run
-    /// on for a while.
+    /// Whether it is about to exit. Its process may stop listening and continue to run for a
+    /// while.
     pub fn is_leaving(&self) -> bool {
         self.draining || self.deregistration.is_some()
     }
 
-    /// What a later agent must know of it.
+    /// The record that the next agent reads at start.
     pub fn known(&self, now: Timestamp) -> KnownLife {
         let registration = Registration {
-            life: self.name.clone(),
+            life: self.incarnation.clone(),
             service: self.service.clone(),
             capacity: self.least_capacity,
             labels: self.labels.clone(),
@@ -109,7 +105,7 @@
 }
 
 impl LeasedAgent {
-    /// A life that the worker itself has told of begins.
+    /// Starts an incarnation that the worker itself has registered.
     pub(super) fn start_registered_incarnation(
         &mut self,
         now: Timestamp,
@@ -122,8 +118,8 @@
         self.persist_record(now, effects);
     }
 
-    /// Begins a life of which nothing runs as yet. Runs of before that are still in the ledger
-    /// are judged by its lists.
+    /// Starts an incarnation. Runs that were sent to the previous one remain in the run table
+    /// until the new incarnation's run lists show what became of them.
     pub(super) fn start_incarnation(
         &mut self,
         now: Timestamp,
@@ -145,7 +141,7 @@
         let mut clock = ClockEstimate::default();
         clock.update(now, registration.clock);
         self.worker = Some(WorkerState {
-            name: registration.life,
+            incarnation: registration.life,
             number: self.incarnation_number,
             source,
             service: registration.service,
@@ -179,14 +175,14 @@
         self.stop_held_starts(now);
     }
 
-    /// Has gateways told anew what the worker is.
+    /// Has the worker's snapshot sent to all gateways again.
     pub(super) fn invalidate_snapshots(&mut self) {
         for owner in self.owners.values_mut() {
             owner.has_snapshot = false;
         }
     }
 
-    /// Leaves word of the present life for a later agent.
+    /// Stores a record of the current incarnation for the next agent.
     pub(super) fn persist_record(&self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if let Some(worker) = &self.worker {
             effects.push(AgentEffect::Remember(worker.known(now)));
@@ -196,16 +192,16 @@
     pub(super) fn is_current(&self, name: &LifeName) -> bool {
         self.worker
             .as_ref()
-            .is_some_and(|worker| worker.name == *name)
+            .is_some_and(|worker| worker.incarnation == *name)
     }
 
-    /// All the room of the worker; none while no life of it is known.
+    /// Total capacity of the worker; zero if no incarnation is known.
     pub(super) fn capacity(&self) -> Room {
         let worker = self.worker.as_ref();
         worker.map(|worker| worker.capacity).unwrap_or_default()
     }
 
-    /// The worker's clock at `now`; zero while no life of it is known.
+    /// The worker's clock at `now`; zero if no incarnation is known.
     pub(super) fn worker_clock(&self, now: Timestamp) -> WorkerClock {
         let worker = self.worker.as_ref();
         worker.map_or(WorkerClock::default(), |worker| worker.clock.at(now))
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/life_end.rs
@@ -1,4 +1,4 @@
-//! The end of a life of the worker, and what becomes of what it ran.
+//! The end of a worker's incarnation, and what it means for its runs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, LifeSource, LostRun, OrderAnswer};
 
 impl LeasedAgent {
-    /// A life of the worker is over: what it ran has ended. The life that has registered since,
-    /// if any, begins.
+    /// Ends the runs of an incarnation that is over, and starts the successor that has
+    /// registered, if any.
     pub(super) fn on_incarnation_ended(
         &mut self,
         now: Timestamp,
@@ -26,25 +26,25 @@
         end: LifeEnd,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(mut present) = self.worker.take_if(|worker| worker.name == *name) else {
+        let Some(mut ended) = self.worker.take_if(|worker| worker.incarnation == *name) else {
             return;
         };
-        self.record_incarnation_end(now, &mut present, end, &BTreeSet::new(), effects);
+        self.record_incarnation_end(now, &mut ended, end, &BTreeSet::new(), effects);
         let proof = match end {
             LifeEnd::Crashed | LifeEnd::Superseded | LifeEnd::Reborn => EndProof::LifeOver,
             LifeEnd::Deregistered | LifeEnd::Replaced => EndProof::LeaseOver,
         };
-        // A worker of another id carries out nothing that was meant for this one.
+        // A worker with another id rejects commands for this one.
         let may_return = name.may_return() && end != LifeEnd::Superseded;
         for task in self.runs.tasks_where(|_| true) {
             let is_unconfirmed = self.runs.get(task).is_some_and(Run::is_unconfirmed);
             if may_return && is_unconfirmed {
-                self.hold_start(now, task, &present, effects);
+                self.hold_start(now, task, &ended, effects);
             } else {
                 self.end_run(now, task, EndKind::Lost, proof, effects);
             }
         }
-        let next = present.successor.map(|successor| successor.registration);
+        let next = ended.successor.map(|successor| successor.registration);
         let next = next.filter(|next| {
             let is_gone = end == LifeEnd::Superseded && next.life.id == name.id;
             !is_gone && !self.past_incarnations.is_leaving(now, &next.life)
@@ -54,9 +54,9 @@
         }
     }
 
-    /// The worker answers, and was born at another time than the present life: it has started
-    /// again under its id. What it lists as its own is `shown`. All else that the life before had
-    /// is judged by the lists of the next one, as what the present life runs is.
+    /// The worker answered with another start time: it has restarted under the same id. The runs
+    /// in `listed` are those that the new incarnation lists as its own; its later lists decide
+    /// what became of all others.
     pub(super) fn on_restarted(
         &mut self,
         now: Timestamp,
@@ -64,21 +64,21 @@
         listed: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(mut present) = self.worker.take() else {
+        let Some(mut ended) = self.worker.take() else {
             return;
         };
-        self.record_incarnation_end(now, &mut present, LifeEnd::Reborn, listed, effects);
-        self.held_worker_id = Some(Arc::clone(&present.name.id));
-        let name = present.name.reborn(born);
-        let registered = present.successor.map(|successor| successor.registration);
+        self.record_incarnation_end(now, &mut ended, LifeEnd::Reborn, listed, effects);
+        self.held_worker_id = Some(Arc::clone(&ended.incarnation.id));
+        let name = ended.incarnation.reborn(born);
+        let registered = ended.successor.map(|successor| successor.registration);
         match registered.filter(|registration| registration.life == name) {
             Some(registration) => self.start_registered_incarnation(now, registration, effects),
             None => {
                 let registration = Registration {
                     life: name,
-                    service: present.service,
-                    capacity: present.capacity,
-                    labels: present.labels,
+                    service: ended.service,
+                    capacity: ended.capacity,
+                    labels: ended.labels,
                     clock: WorkerClock::default(),
                     draining: false,
                     sequence: 0,
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Answers, remembers and tells what follows from the end of a life, except for its runs. Those
-    /// that the next life has shown as its own have no part in it.
+    /// Records the end of an incarnation, except for its runs: answers a pending deregistration,
+    /// records a crash and logs the lost runs. Runs in `listed` belong to the next incarnation
+    /// and are not counted as lost.
     fn record_incarnation_end(
         &mut self,
         now: Timestamp,
@@ -99,7 +100,7 @@
         effects: &mut Vec<AgentEffect>,
     ) {
         if let Some(deregistration) = &mut worker.deregistration {
-            deregistration.answer(&worker.name.id, effects);
+            deregistration.answer(&worker.incarnation.id, effects);
         }
         let lost: Vec<(TaskId, &Run)> = self
             .runs
@@ -118,22 +119,24 @@
         let begun = crashed
             .chain(std::mem::take(&mut worker.expired_tasks))
             .collect();
-        self.record_crash(&worker.name, worker.draining, end, begun);
+        self.record_crash(&worker.incarnation, worker.draining, end, begun);
         effects.push(AgentEffect::Decided(AgentDecision::LifeOver {
-            life: worker.name.clone(),
+            life: worker.incarnation.clone(),
             end,
             runs,
         }));
-        self.past_incarnations.note_ended(worker.name.clone());
+        self.past_incarnations
+            .record_ended(worker.incarnation.clone());
         if end == LifeEnd::Deregistered {
             self.past_incarnations
-                .note_deregistered(now, worker.name.clone());
+                .record_deregistered(now, worker.incarnation.clone());
         }
     }
 
-    /// A start had no answer, and the worker may come back under its id: a process that knows
-    /// nothing of before would carry the order out, seconds late. So the run is not over before
-    /// the next life has been told to leave it alone, or another id answers.
+    /// Keeps a run whose start was unanswered when the incarnation ended. The worker may restart
+    /// under the same id, and the new process would carry out a delayed start command. The run
+    /// ends only once the next incarnation has been told to stop it, or a worker with another id
+    /// answers.
     fn hold_start(
         &mut self,
         now: Timestamp,
@@ -155,17 +158,18 @@
             answered: None,
         };
         self.runs.set_state(task, state);
-        self.runs.note(task, |run| run.retry_stop_at = None);
-        self.held_worker_id = Some(Arc::clone(&worker.name.id));
+        self.runs.update(task, |run| run.retry_stop_at = None);
+        self.held_worker_id = Some(Arc::clone(&worker.incarnation.id));
         effects.push(AgentEffect::Decided(AgentDecision::StartHeld { run }));
     }
 
-    /// A life begins: if it has the id for which starts are held, their stops are sent to it.
+    /// Sends the stops of held starts to the incarnation that has just started, if it has the id
+    /// that they are held for.
     pub(super) fn stop_held_starts(&mut self, now: Timestamp) {
         let Some(worker) = &self.worker else {
             return;
         };
-        if self.held_worker_id.as_ref() != Some(&worker.name.id) {
+        if self.held_worker_id.as_ref() != Some(&worker.incarnation.id) {
             return;
         }
         let is_stopping = |run: &Run| matches!(run.state, RunState::Stopping { .. });
@@ -174,8 +178,8 @@
         }
     }
 
-    /// The worker has answered for its present life: if that has another id than the one for which
-    /// starts are held, none of them will be carried out.
+    /// Ends the held starts if the current incarnation, which has just answered, has another id
+    /// than the one that they are held for: none of them will be carried out.
     pub(super) fn discard_held_starts(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &self.worker else {
             return;
@@ -184,18 +188,18 @@
         let is_other = self
             .held_worker_id
             .as_ref()
-            .is_some_and(|id| *id != worker.name.id);
+            .is_some_and(|id| *id != worker.incarnation.id);
         if !is_other {
             return;
         }
         self.held_worker_id = None;
-        let is_held = |run: &Run| run.takes_room() && run.life != number;
+        let is_held = |run: &Run| run.takes_room() && run.incarnation != number;
         for task in self.runs.tasks_where(is_held) {
             self.end_run(now, task, EndKind::Lost, EndProof::LifeOver, effects);
         }
     }
 
-    /// The answer to a start that was sent to an earlier life, or the lack of one.
+    /// Handles the result of a start that was sent to an earlier incarnation.
     pub(super) fn on_late_start_answer(
         &mut self,
         now: Timestamp,
@@ -220,7 +224,7 @@
                 let how = EndKind::NotStarted(NotStartedReason::Refused);
                 (how, EndProof::Rejected)
             }
-            // It was carried out by the life that is over, unless the next one lists it.
+            // The ended incarnation carried it out, unless the next one lists the run.
             Ok(_) if self.worker.is_none() => (EndKind::Lost, EndProof::LifeOver),
             Ok(_) => {
                 if is_starting {
--- a/laurelstile-core/src/leased/agent/lives.rs
+++ b/laurelstile-core/src/leased/agent/lives.rs
@@ -1,4 +1,4 @@
-//! What the worker says of its lives: which is present, and which word is late.
+//! Heartbeats of the worker: which incarnation is current, and which heartbeats are out of date.
 
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -7,11 +7,11 @@
 use super::worker::Registration;
 use super::{AgentDecision, AgentEffect, IgnoredHeartbeat, LeasedAgent, LifeEnd, LifeSource};
 
-/// A life that has registered while another was present.
+/// An incarnation that registered while another was current.
 #[derive(Debug)]
 pub struct SuccessorCandidate {
     pub(super) registration: Registration,
-    /// When it first did.
+    /// When it first registered.
     pub(super) since: Timestamp,
 }
 
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Why a heartbeat is not that of a life to be used, if it is not. A life that has ended is
-    /// ignored only while another is present: else the worker was thought dead and is not.
+    /// Why a heartbeat is ignored; `None` if it is used. A heartbeat of an ended incarnation is
+    /// ignored only while another one is current; otherwise the incarnation was wrongly taken
+    /// for ended.
     fn ignore_reason(
         &self,
         now: Timestamp,
@@ -45,26 +46,26 @@
             return Some(IgnoredHeartbeat::DeregisteredLife);
         }
         let worker = self.worker.as_ref()?;
-        if worker.name == *name {
+        if worker.incarnation == *name {
             let is_other = worker.service != registration.service;
             let is_held = now.since(worker.service_confirmed_at) <= self.service_retention();
             return (is_other && is_held).then_some(IgnoredHeartbeat::OtherService);
         }
-        if worker.name.id == name.id && name.born.is_none() {
+        if worker.incarnation.id == name.id && name.born.is_none() {
             return Some(IgnoredHeartbeat::NoBirth);
         }
         let has_ended = self.past_incarnations.contains(name);
         has_ended.then_some(IgnoredHeartbeat::EndedLife)
     }
 
-    /// For how long after a heartbeat that names a life's service one that names another is held
-    /// for another writer's: two heartbeats, so that the worker's own word prevails. A life that
-    /// follows another under its id is expected to serve what that served.
+    /// How long the service named by a heartbeat takes precedence over a different one: two
+    /// heartbeat intervals, so that the worker prevails over another sender that uses its id. A
+    /// restarted worker is expected to serve the same service as before.
     fn service_retention(&self) -> Span {
         Span(self.options.heartbeats.interval.0 * 2)
     }
 
-    /// Takes in what the present life says of itself.
+    /// Applies a heartbeat of the current incarnation.
     fn apply_heartbeat(
         &mut self,
         now: Timestamp,
@@ -88,7 +89,7 @@
         let begins_to_drain = registration.draining && !worker.draining;
         if begins_to_drain {
             worker.draining = true;
-            let life = worker.name.clone();
+            let life = worker.incarnation.clone();
             effects.push(AgentEffect::Decided(AgentDecision::Draining { life }));
         }
         let has_shrunk = !is_late && self.apply_capacity(&registration, effects);
@@ -105,9 +106,9 @@
         }
     }
 
-    /// The worker says, in a heartbeat that is not late, how much room it has. What runs there
-    /// goes on, but nothing starts beyond it; gateways are told what the worker is now. Gives
-    /// whether this life has never had so little.
+    /// Applies the capacity in a heartbeat that is not out of order. Runs continue, but nothing
+    /// starts beyond the new capacity, and gateways get a new snapshot. Returns whether the
+    /// incarnation has never had so little.
     fn apply_capacity(
         &mut self,
         registration: &Registration,
@@ -122,7 +123,7 @@
             return false;
         }
         effects.push(AgentEffect::Decided(AgentDecision::CapacityChanged {
-            life: worker.name.clone(),
+            life: worker.incarnation.clone(),
             before: worker.capacity,
             now: capacity,
         }));
@@ -135,11 +136,10 @@
         has_shrunk
     }
 
-    /// Another life than the present one has registered. Either the present one is over,
-    /// or a cut has held back a heartbeat of a life that ended before it. Its name does
-    /// not tell, but the worker does: it answers no order for a life of another id, and names its
-    /// birth in its lists. So the present life is asked before its runs, which may well go on,
-    /// are given up.
+    /// Records that another incarnation has registered. Either the current one is over, or this
+    /// is a delayed heartbeat of an earlier one. The heartbeat cannot tell, but the worker can:
+    /// it rejects commands for another id, and its run lists carry its start time. So the worker
+    /// is queried before any run of the current incarnation is given up.
     fn set_successor(&mut self, now: Timestamp, registration: Registration) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -160,25 +160,29 @@
         worker.watch_from = now;
     }
 
-    /// The present life has answered what it was asked at `asked`: whoever had registered
-    /// before that, instead of it, has ended.
-    pub(super) fn dismiss_successor(&mut self, asked: Timestamp, effects: &mut Vec<AgentEffect>) {
+    /// Discards a successor that registered before `queried_at`: the current incarnation has answered
+    /// a watch sent at that time, so the other one has ended.
+    pub(super) fn dismiss_successor(
+        &mut self,
+        queried_at: Timestamp,
+        effects: &mut Vec<AgentEffect>,
+    ) {
         let Some(worker) = &mut self.worker else {
             return;
         };
-        let is_earlier = |successor: &mut SuccessorCandidate| successor.since < asked;
+        let is_earlier = |successor: &mut SuccessorCandidate| successor.since < queried_at;
         let Some(successor) = worker.successor.take_if(is_earlier) else {
             return;
         };
         let late = successor.registration.life;
         effects.push(AgentEffect::Decided(AgentDecision::LateHeartbeat {
             life: late.clone(),
-            present: worker.name.clone(),
+            present: worker.incarnation.clone(),
         }));
-        self.past_incarnations.note_ended(late);
+        self.past_incarnations.record_ended(late);
     }
 
-    /// Gives the present life up if it has let its runs lapse and another has registered.
+    /// Ends the current incarnation, whose leases have expired, if another one has registered.
     pub(super) fn replace_expired_incarnation(
         &mut self,
         now: Timestamp,
@@ -188,13 +192,13 @@
             .worker
             .as_ref()
             .filter(|worker| worker.successor.is_some());
-        if let Some(name) = challenged.map(|worker| worker.name.clone()) {
+        if let Some(name) = challenged.map(|worker| worker.incarnation.clone()) {
             self.on_incarnation_ended(now, &name, LifeEnd::Replaced, effects);
         }
     }
 
-    /// Tries the worker as an earlier agent knew it, without waiting for its
-    /// next heartbeat. The clock in the record is old.
+    /// Starts the incarnation in the record of an earlier agent, without waiting for its next
+    /// heartbeat. The clock reading in the record is old.
     pub(super) fn on_record_loaded(
         &mut self,
         now: Timestamp,
@@ -206,8 +210,8 @@
         }
     }
 
-    /// A gateway tells how long ago it heard an earlier agent here. What that one knew of
-    /// the worker is what was recalled.
+    /// Handles a gateway's report of how long ago it heard an earlier agent of this worker. The
+    /// record dates from that agent.
     pub(super) fn on_predecessor(&mut self, now: Timestamp, silence: Span) {
         let is_unheard = |worker: &WorkerState| worker.source == LifeSource::Lists;
         if !self.worker.as_ref().is_some_and(is_unheard) {
@@ -218,35 +222,36 @@
 }
 
 impl WorkerState {
-    /// Whether a start of the worker under its own id has registered, and it is not known yet
-    /// which of the two is there.
+    /// Whether a restart of the worker under the same id has registered, and it is not yet known
+    /// which of the two incarnations is current.
     pub(super) fn has_possible_restart(&self) -> bool {
         let successor = self.successor.as_ref();
-        successor.is_some_and(|successor| successor.registration.life.id == self.name.id)
+        successor.is_some_and(|successor| successor.registration.life.id == self.incarnation.id)
     }
 
-    /// The birth of the life that has answered, under this life's id, what was asked at `asked`,
-    /// if that is another than this one. Where this life tells no birth, a heartbeat must have
-    /// told that of the answer. An answer without a birth leaves the later to be there.
+    /// The start time of the process that answered a watch sent at `queried_at`, if it is a different
+    /// incarnation under the same id. If this incarnation has no start time, a heartbeat must
+    /// have carried the answered one. If the answer carries none, the incarnation with the later
+    /// start time is taken to be current.
     pub(super) fn detected_restart(
         &self,
-        asked: Timestamp,
+        queried_at: Timestamp,
         answered: Option<Born>,
     ) -> Option<Born> {
-        if self.name.is_other_birth(answered) {
+        if self.incarnation.is_other_birth(answered) {
             return answered;
         }
         let successor = self.successor.as_ref()?;
         let claimed = successor.registration.life.born;
         let is_there = match answered {
-            Some(_) => claimed == answered && claimed != self.name.born,
-            None => successor.since < asked && claimed > self.name.born,
+            Some(_) => claimed == answered && claimed != self.incarnation.born,
+            None => successor.since < queried_at && claimed > self.incarnation.born,
         };
         claimed.filter(|_| is_there && self.has_possible_restart())
     }
 }
 
-/// Notes for the log that nothing of what a heartbeat says is heeded.
+/// Logs that the contents of a heartbeat are ignored.
 fn ignore_heartbeat(
     registration: Registration,
     reason: IgnoredHeartbeat,
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -1,6 +1,6 @@
-//! The agent beside a leased worker. It alone gives the worker orders, so it
-//! alone decides what starts; it renews the leases of what runs, and ends what
-//! nobody answers for.
+//! The agent of a leased worker. Only the agent sends commands to its worker, so it alone
+//! decides what starts there. It renews the worker's leases and stops runs whose gateway is
+//! gone.
 
 mod crash_memory;
 mod deregistration;
@@ -51,38 +51,38 @@
 pub use room_knowledge::HeartbeatTimes;
 use worker::FenceToken;
 
-/// Settings of an agent's machine.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
     /// Zone of the worker.
     pub zone: String,
-    /// How long a planned stop may wait for runs.
+    /// How long a graceful shutdown waits for runs to end.
     pub stop_patience: Span,
-    /// How the worker's word about itself ages.
+    /// Timing of the worker's heartbeats, which decides how long its reported capacity is valid.
     pub heartbeats: HeartbeatTimes,
-    /// Tokens of orders are above this: the time of day at which the agent started, in
-    /// milliseconds.
+    /// Lower bound of the fencing tokens, exclusive: the wall-clock time of the agent's start,
+    /// in milliseconds.
     pub token_floor: FenceToken,
 }
 
-/// The agent's machine.
+/// State machine of an agent.
 #[derive(Debug)]
 pub struct LeasedAgent {
     options: AgentOptions,
     worker: Option<WorkerState>,
-    /// Number of the present life, or of the last.
+    /// Number of the current incarnation, or of the latest one if there is none.
     incarnation_number: IncarnationNumber,
-    /// Token of the present life, or of the last.
+    /// Fencing token of the current incarnation, or of the latest one if there is none.
     token: FenceToken,
     past_incarnations: PastIncarnations,
-    /// Id of the life whose end has left starts that may yet be carried out.
+    /// Worker id whose next incarnation may still carry out held starts.
     held_worker_id: Option<Arc<str>>,
     runs: RunTable,
     health: Health,
     crash_history: CrashHistory,
-    /// Until when the room of the present life may be relied on.
+    /// How long the reported capacity of the current incarnation is valid.
     capacity_freshness: CapacityFreshness,
-    /// Whether a stop of a run takes longer than a stop may.
+    /// Whether any stop takes longer than it may.
     has_overdue_stop: bool,
     evacuations: Evacuations,
     owners: BTreeMap<Incarnation, Owner>,
@@ -90,12 +90,12 @@
     stopping_since: Option<Timestamp>,
     has_reported_stop: bool,
     last_flush: Timestamp,
-    /// Since when the agent has run without standing still.
+    /// Since when the agent has run without being suspended.
     running_since: Timestamp,
 }
 
 impl LeasedAgent {
-    /// An agent that has not heard of its worker.
+    /// An agent that has not heard from its worker.
     pub fn new(options: AgentOptions) -> Self {
         Self {
             token: options.token_floor,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes in one event. Call [`LeasedAgent::flush`] after a batch of events.
+    /// Handles one event. Call [`LeasedAgent::flush`] after a batch of events.
     pub fn handle(&mut self, now: Timestamp, event: AgentEvent, effects: &mut Vec<AgentEffect>) {
         match event {
             AgentEvent::Opened { session, gateway } => {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Does what the events since the last flush, or time, gave rise to.
+    /// Performs all actions that became due through events or the passing of time.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         self.detect_suspension(now);
         self.check_overdue_stops(now);
@@ -165,17 +165,17 @@
         self.send_all(now, effects);
     }
 
-    /// Runs that have not ended.
+    /// Number of runs that have not ended.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Room that runs take at the worker.
+    /// Resources that runs take at the worker.
     pub fn taken_room(&self) -> Room {
         self.runs.taken()
     }
 
-    /// Whether the worker may be given tasks, apart from its room.
+    /// Whether the worker accepts tasks, regardless of its free resources.
     pub fn is_available(&self, now: Timestamp) -> bool {
         let Some(worker) = &self.worker else {
             return false;
@@ -191,14 +191,15 @@
             && worker.unanswered_watches == 0
     }
 
-    /// Whether the worker's zone is evacuated, as far as any gateway has told.
+    /// Whether the worker's zone is evacuated, according to the latest revision received from
+    /// any gateway.
     pub fn is_evacuated(&self) -> bool {
         self.evacuations.covers(&self.options.zone)
     }
 
-    fn on_evacuations(&mut self, news: Evacuations, effects: &mut Vec<AgentEffect>) {
+    fn on_evacuations(&mut self, update: Evacuations, effects: &mut Vec<AgentEffect>) {
         let was_evacuated = self.is_evacuated();
-        self.evacuations.update(news);
+        self.evacuations.update(update);
         let is_evacuated = self.is_evacuated();
         if is_evacuated != was_evacuated {
             effects.push(AgentEffect::Decided(AgentDecision::Evacuated {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Takes a run out: nothing of it runs any more.
+    /// Removes a run of which nothing executes any more, and reports its end to its gateway.
     fn end_run(
         &mut self,
         now: Timestamp,
@@ -252,7 +253,7 @@
             return;
         };
         effects.push(AgentEffect::Order(Order {
-            life: worker.name.clone(),
+            life: worker.incarnation.clone(),
             token: worker.token,
             kind,
         }));
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -1,9 +1,9 @@
-//! Offers of room: which gateway gets room that becomes free.
+//! Offers: which gateway gets resources that become free.
 //!
-//! Gateways announce tasks that wait for room, with a rank. Room that becomes free is
-//! held for the gateway of the best rank and offered to it, so that gateways do not
-//! run for the same room and the job that is worst off gets it, whoever keeps it. An
-//! offer is a hint: an agent may let one lapse, and starts nothing without an order.
+//! Gateways announce the tasks that wait for resources, with a rank. Free resources are reserved
+//! for the gateway with the best rank and offered to it. Gateways then don't compete for the
+//! same resources, and the highest-ranked job gets them whichever gateway holds it. An offer is
+//! only a hint: it may expire, and nothing starts without a request.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -13,8 +13,7 @@
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
-/// How long room is held for a gateway that does not answer an offer: several times
-/// the way there and back.
+/// How long resources are reserved for a gateway that does not answer: several round trips.
 const OFFER_TIMEOUT: Span = Span::from_millis(10);
 
 impl LeasedAgent {
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Room that is held for gateways.
+    /// Resources reserved for gateways.
     pub(super) fn offered_room(&self) -> Room {
         self.owners
             .values()
@@ -39,7 +38,7 @@
             .fold(Room::default(), Room::plus)
     }
 
-    /// Offers free room to the gateways that wait for it, the best rank first.
+    /// Offers free resources to the gateways with waiting tasks, best rank first.
     pub(super) fn offer_room(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         for owner in self.owners.values_mut() {
             if owner.expire_offers(now) {
@@ -64,7 +63,7 @@
         }
     }
 
-    /// The announced step of the best rank that fits into the free room.
+    /// The best-ranked announced step whose tasks fit into the free resources.
     fn best_ranked_step(&self, now: Timestamp) -> Option<(Incarnation, StepKey, AnnouncedStep)> {
         let free = self.free_room();
         self.owners
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -1,5 +1,4 @@
-//! What an agent sends to its gateways, when it stops what a silent one left,
-//! and when time alone makes it act.
+//! Messages to gateways, the end of a graceful shutdown, and timers.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -12,11 +11,11 @@
 use super::{AgentEffect, LeasedAgent};
 use crate::session::SessionId;
 
-/// How long a planned stop waits for the last ends to be acknowledged.
+/// How long a graceful shutdown waits for the last ends of runs to be acknowledged.
 const FINAL_ACK_TIMEOUT: Span = Span::from_millis(400);
 
 impl LeasedAgent {
-    /// Sends ends, reports and heartbeats that are due.
+    /// Sends the ends, reports and heartbeats that are due.
     pub(super) fn send_all(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let is_in_control = self
             .worker
@@ -28,8 +27,8 @@
         }
     }
 
-    /// The report for a gateway, once it is noted whether it has more room than the
-    /// last one.
+    /// The current report for a gateway. Also records whether it has more free resources than
+    /// the last one sent.
     fn prepare_report(&mut self, now: Timestamp, gateway: Incarnation) -> Option<Report> {
         let report = self.report(now, self.owners.get(&gateway)?);
         self.owners
@@ -59,7 +58,7 @@
         let Some(owner) = self.owners.get(&gateway) else {
             return;
         };
-        // Ends go before the snapshot, which tells what is left.
+        // Ends precede the snapshot, which lists the runs that remain.
         let body = if owner.has_unsent() {
             None
         } else if is_in_control && !owner.has_snapshot {
@@ -87,7 +86,7 @@
             Vec::new()
         };
         if is_new {
-            owner.note_reported(now, report);
+            owner.record_report(now, report);
         }
         let message = FromAgent {
             clock: now,
@@ -107,8 +106,8 @@
         }
     }
 
-    /// Tells a gateway of crashes of the worker, before it hears that its runs have ended:
-    /// it may place them again at once.
+    /// Reports crashes of the worker to a gateway. They precede the ends of the affected runs,
+    /// which the gateway may place again at once.
     fn send_crashes(
         &mut self,
         now: Timestamp,
@@ -119,8 +118,8 @@
         let Some(owner) = self.owners.get_mut(&gateway) else {
             return;
         };
-        let news = self.crash_history.after(owner.last_crash_sent);
-        if news.is_empty() {
+        let crashes = self.crash_history.after(owner.last_crash_sent);
+        if crashes.is_empty() {
             return;
         }
         owner.last_crash_sent = self.crash_history.last();
@@ -130,7 +129,7 @@
             report: None,
             offers: Vec::new(),
             sought: None,
-            body: FromAgentBody::Crashes(news),
+            body: FromAgentBody::Crashes(crashes),
         };
         effects.push(AgentEffect::Send { session, message });
     }
@@ -141,7 +140,9 @@
         gateway: Incarnation,
         owner: &Owner,
     ) -> Span {
-        let is_recent = owner.asked.is_some_and(|asked| now.since(asked) <= RECENT);
+        let is_recent = owner
+            .last_start_request
+            .is_some_and(|requested| now.since(requested) <= RECENT);
         let is_busy = is_recent || owner.has_unacknowledged() || self.owns_runs(gateway);
         if is_busy {
             BUSY_HEARTBEAT
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Ends a planned stop once nothing runs, or once patience is over.
+    /// Completes a graceful shutdown once nothing runs, or once its time-out has passed.
     pub(super) fn finish_stop(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(since) = self.stopping_since else {
             return;
@@ -210,7 +211,7 @@
         }
     }
 
-    /// When time alone makes the agent act, if nothing happens before.
+    /// When the agent next has to act without further events; `None` if never.
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         let mut wakeups = Vec::new();
         wakeups.extend(self.health.next_change(now));
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -1,5 +1,5 @@
-//! A gateway, as the agent sees it: its session, its echo, the ends that it has not
-//! acknowledged, the tasks that wait there, and the room that is held for it.
+//! Per-gateway state of an agent: session, latest echo, unacknowledged ends of runs, waiting
+//! tasks and offers.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,35 +11,33 @@
 use super::super::timing::OWNER_SILENCE;
 use crate::session::SessionId;
 
-/// Ends that are kept for a gateway that does not acknowledge them; above
-/// this the oldest are dropped.
+/// Ends kept for a gateway that does not acknowledge them; beyond this the oldest are dropped.
 const MAX_ENDS: usize = 4_096;
 
-/// Pause between two reports that have no other reason than a change of room. Room
-/// changes some 40 times a second at a busy worker (computed), and each report goes to up to sixteen
-/// gateways; with 5 ms nearly every change was a report of its own, for the same worth.
+/// Minimum interval between two reports sent only because free resources changed. They change
+/// often at a busy worker, and each report goes to all gateways.
 const MIN_REPORT_INTERVAL: Span = Span::from_millis(15);
-/// How much later than the gateway whose task ended the others hear of the room
-/// that it left.
+/// Delay after which other gateways learn of resources freed by a gateway's task, so that this
+/// gateway can reuse them first.
 const GROWTH_REPORT_DELAY: Span = Span::from_millis(6);
 
-/// A step of a job at a gateway.
+/// A job and the index of one of its steps.
 pub type StepKey = (JobId, u32);
 
-/// Tasks of a step that wait at a gateway.
+/// Waiting tasks of one step.
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncedStep {
-    /// What each needs.
+    /// Resources that each task needs.
     pub room: Room,
-    /// How many wait, less those for which room was offered.
+    /// Number of waiting tasks, less those that resources were offered for.
     pub count: u32,
-    /// Rank; the lowest goes first.
+    /// Rank; the lowest is served first.
     pub rank: u32,
-    /// When they stop to wait.
+    /// When the tasks stop waiting.
     pub until: Timestamp,
 }
 
-/// Room that is held for a gateway.
+/// Resources reserved for a gateway.
 #[derive(Clone, Copy, Debug)]
 struct PendingOffer {
     offer: Offer,
@@ -47,35 +45,35 @@
     is_sent: bool,
 }
 
-/// Most steps of a gateway that are remembered as waiting.
+/// Steps with waiting tasks that are remembered for each gateway.
 const MAX_ANNOUNCED_STEPS: usize = 512;
 
-/// A gateway with a session, or with runs or ends here.
+/// A gateway that has a session, runs or unacknowledged ends at this agent.
 #[derive(Debug)]
 pub struct Owner {
     /// Its session, if one is open.
     pub session: Option<SessionId>,
     /// When the latest session was opened.
     pub opened: Timestamp,
-    /// The latest reading of this agent's clock that it has sent back.
+    /// The latest reading of this agent's clock that the gateway has echoed.
     pub echo: Timestamp,
-    /// Batches of the session that were taken in.
+    /// Number of the last start batch processed on this session.
     pub processed: u64,
-    /// When something was last sent to it.
+    /// When a message was last sent to it.
     pub last_sent: Timestamp,
-    /// The report that it was last sent.
+    /// The last report sent on this session.
     pub last_report: Option<Report>,
-    /// When that was.
+    /// When that report was sent.
     pub reported: Timestamp,
-    /// Since when the worker has had more room than that report said.
+    /// Since when the worker has had more free resources than the last report said.
     pub grown_since: Option<Timestamp>,
-    /// When it last asked for a start.
-    pub asked: Option<Timestamp>,
-    /// Whether it gets no room: its session is about to be closed.
+    /// When it last requested a start.
+    pub last_start_request: Option<Timestamp>,
+    /// Whether its session is about to be closed, so that it is reported no free resources.
     pub is_released: bool,
-    /// Whether it was told what the worker is.
+    /// Whether the current snapshot of the worker was sent on this session.
     pub has_snapshot: bool,
-    /// Number of the last crash of the worker that it was told of, on this session.
+    /// Number of the last crash reported on this session.
     pub last_crash_sent: u64,
     ends: VecDeque<TaskEnd>,
     unsent: usize,
@@ -86,7 +84,7 @@
 }
 
 impl Owner {
-    /// A gateway whose session was opened at `now`.
+    /// A gateway first seen at `now`.
     pub fn new(now: Timestamp) -> Self {
         Self {
             session: None,
@@ -97,7 +95,7 @@
             last_report: None,
             reported: Timestamp::default(),
             grown_since: None,
-            asked: None,
+            last_start_request: None,
             is_released: false,
             has_snapshot: false,
             last_crash_sent: 0,
@@ -110,9 +108,9 @@
         }
     }
 
-    /// A new session is open: everything that is not acknowledged goes out
-    /// again. Its echo stays as it was: that a connection was made is not the gateway's word,
-    /// which may lag behind and hold this agent for silent.
+    /// Starts a new session. Everything unacknowledged is sent again. The echo is left
+    /// unchanged: an open connection is no evidence that the gateway has heard this agent
+    /// recently.
     pub fn open(&mut self, now: Timestamp, session: SessionId) {
         self.session = Some(session);
         self.opened = now;
@@ -126,7 +124,6 @@
         self.clear_waiting();
     }
 
-    /// The session is closed.
     pub fn close(&mut self) {
         self.session = None;
         self.clear_waiting();
@@ -137,7 +134,7 @@
         self.offers.clear();
     }
 
-    /// Takes in which tasks wait there.
+    /// Replaces what is known of a step's waiting tasks.
     pub fn announce(&mut self, now: Timestamp, announcement: &Announcement) {
         let key = (announcement.job, announcement.step);
         if announcement.count == 0 {
@@ -157,7 +154,7 @@
         self.announced.insert(key, step);
     }
 
-    /// The steps that wait there.
+    /// The steps with waiting tasks.
     pub fn announced(&self, now: Timestamp) -> impl Iterator<Item = (StepKey, AnnouncedStep)> {
         self.announced
             .iter()
@@ -165,7 +162,7 @@
             .filter(move |(_, step)| step.count > 0 && step.until > now)
     }
 
-    /// Holds `room` for `tasks` tasks of a step until `until`.
+    /// Reserves `room` for `tasks` tasks of a step until `until`.
     pub fn offer(&mut self, key: StepKey, room: Room, tasks: u32, until: Timestamp) {
         if let Some(step) = self.announced.get_mut(&key) {
             step.count = step.count.saturating_sub(tasks);
@@ -182,13 +179,13 @@
         });
     }
 
-    /// An offer was answered.
+    /// Removes an answered offer.
     pub fn end_offer(&mut self, number: u64) {
         self.offers.retain(|pending| pending.offer.number != number);
     }
 
-    /// Ends the offers if one was not answered in time, and says so. What waits at a
-    /// gateway that does not answer is forgotten.
+    /// Cancels all offers and forgets the waiting tasks if an offer was not answered in time.
+    /// Returns whether that was so.
     pub fn expire_offers(&mut self, now: Timestamp) -> bool {
         let is_expired = self.offers.iter().any(|pending| now >= pending.until);
         if is_expired {
@@ -197,12 +194,12 @@
         is_expired
     }
 
-    /// When the next offer ends.
+    /// When the next offer expires.
     pub fn next_offer_end(&self) -> Option<Timestamp> {
         self.offers.iter().map(|pending| pending.until).min()
     }
 
-    /// Room that is held for it.
+    /// Resources reserved for this gateway.
     pub fn offered_room(&self) -> Room {
         self.offers
             .iter()
@@ -210,7 +207,7 @@
             .fold(Room::default(), Room::plus)
     }
 
-    /// The offers that were not sent yet.
+    /// Takes the offers that have not been sent yet.
     pub fn take_unsent_offers(&mut self) -> Vec<Offer> {
         let unsent = self.offers.iter_mut().filter(|pending| !pending.is_sent);
         unsent
@@ -221,12 +218,11 @@
             .collect()
     }
 
-    /// Whether an offer waits to be sent.
     pub fn has_unsent_offer(&self) -> bool {
         self.offers.iter().any(|pending| !pending.is_sent)
     }
 
-    /// Adds an end.
+    /// Queues the end of a run.
     pub fn push_end(&mut self, run: RunId, how: EndKind) {
         self.last_number += 1;
         self.ends.push_back(TaskEnd {
@@ -242,7 +238,7 @@
         }
     }
 
-    /// Forgets the ends up to `seen`.
+    /// Drops the ends up to number `seen`.
     pub fn acknowledge(&mut self, seen: u64) {
         while self.ends.front().is_some_and(|end| end.number <= seen) {
             self.ends.pop_front();
@@ -250,24 +246,22 @@
         self.unsent = self.unsent.min(self.ends.len());
     }
 
-    /// The ends that were not sent on this session.
+    /// Takes the ends that have not been sent on this session.
     pub fn take_unsent(&mut self) -> Vec<TaskEnd> {
         let sent = self.ends.len() - self.unsent;
         self.unsent = 0;
         self.ends.range(sent..).cloned().collect()
     }
 
-    /// Whether ends wait to be sent.
     pub fn has_unsent(&self) -> bool {
         self.unsent > 0
     }
 
-    /// Whether ends wait to be acknowledged.
     pub fn has_unacknowledged(&self) -> bool {
         !self.ends.is_empty()
     }
 
-    /// Notes whether `report` has more room than the one that it was last sent.
+    /// Records whether `report` has more free resources than the last one sent.
     pub fn track_capacity_growth(&mut self, now: Timestamp, report: &Report) {
         let has_more = self
             .last_report
@@ -279,9 +273,9 @@
         }
     }
 
-    /// When a report that has no other reason than a change may be sent. More room
-    /// is told late to those whose tasks have not made it: the gateway whose task
-    /// ended may fill it first, and the others need not all run for it.
+    /// When a report that only reflects a change of free resources may be sent. Growth is
+    /// reported with a delay, so that the gateway whose task ended can use the resources first
+    /// and the others don't all compete for them.
     pub fn report_due(&self) -> Timestamp {
         let paused = self.reported.after(MIN_REPORT_INTERVAL);
         match self.grown_since {
@@ -290,19 +284,18 @@
         }
     }
 
-    /// Notes that `report` is sent at `now`.
-    pub fn note_reported(&mut self, now: Timestamp, report: Report) {
+    /// Records that `report` is sent at `now`.
+    pub fn record_report(&mut self, now: Timestamp, report: Report) {
         self.reported = now;
         self.last_report = Some(report);
         self.grown_since = None;
     }
 
-    /// Age of its latest echo.
     pub fn echo_age(&self, now: Timestamp) -> Span {
         now.since(self.echo)
     }
 
-    /// When it counts as silent.
+    /// When the gateway counts as silent.
     pub fn silent_at(&self) -> Timestamp {
         self.echo.after(OWNER_SILENCE)
     }
--- a/laurelstile-core/src/leased/agent/past_lives.rs
+++ b/laurelstile-core/src/leased/agent/past_lives.rs
@@ -1,4 +1,4 @@
-//! Lives of the worker that are over.
+//! Past incarnations of the worker.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,77 +7,89 @@
 
 use super::super::life_name::LifeName;
 
-/// Most lives that are remembered. Words of a life that come late come within seconds of its
-/// end, in which a worker starts again a few times at most.
+/// Number of incarnations remembered. Delayed messages of an incarnation arrive within seconds
+/// of its end, and a worker restarts at most a few times in that period.
 const MAX_INCARNATIONS: usize = 64;
 
-/// For how long after its deregistration a life is held to be about to end. Its process is gone
-/// some seconds after it; one that is heard for longer goes on.
+/// How long an incarnation counts as about to exit after its deregistration. The process exits
+/// within seconds; one that is heard from after this period is still in use.
 const LEAVING_PERIOD: Span = Span::from_secs(30);
 
 #[derive(Clone, Debug)]
 struct PastIncarnation {
-    name: LifeName,
+    incarnation: LifeName,
     deregistered: Option<Timestamp>,
 }
 
-/// Lives of the worker that have ended, or have said that they end. Late words of theirs are
-/// told from those of the present life by them.
+/// Incarnations of the worker that have ended or deregistered, by which delayed messages are
+/// recognized.
 #[derive(Debug, Default)]
 pub struct PastIncarnations {
-    lives: VecDeque<PastIncarnation>,
+    entries: VecDeque<PastIncarnation>,
 }
 
 impl PastIncarnations {
-    /// A life has ended, or a heartbeat was one of a life that had.
-    pub fn note_ended(&mut self, name: LifeName) {
-        self.note(name, None);
+    /// Records an incarnation that has ended.
+    pub fn record_ended(&mut self, incarnation: LifeName) {
+        self.record(incarnation, None);
     }
 
-    /// A life has said that it ends.
-    pub fn note_deregistered(&mut self, now: Timestamp, name: LifeName) {
-        self.note(name, Some(now));
+    /// Records an incarnation that has deregistered.
+    pub fn record_deregistered(&mut self, now: Timestamp, incarnation: LifeName) {
+        self.record(incarnation, Some(now));
     }
 
-    /// The worker of that id has said that it ends, where none of its lives is present: the last
-    /// that is known, or one that does not tell its birth.
-    pub fn note_deregistered_id(&mut self, now: Timestamp, id: &Arc<str>) {
-        let mut lives = self.lives.iter_mut().rev();
-        match lives.find(|life| life.name.id == *id) {
-            Some(life) => life.deregistered = Some(now),
+    /// Records a deregistration under an id that is not the current incarnation's. It is
+    /// attributed to the latest known incarnation with that id, or to one without a start time.
+    pub fn record_deregistered_id(&mut self, now: Timestamp, id: &Arc<str>) {
+        let mut entries = self.entries.iter_mut().rev();
+        match entries.find(|entry| entry.incarnation.id == *id) {
+            Some(entry) => entry.deregistered = Some(now),
             None => {
                 let id = Arc::clone(id);
-                self.note_deregistered(now, LifeName { id, born: None });
+                self.record_deregistered(now, LifeName { id, born: None });
             }
         }
     }
 
-    /// A life that was held to be over is not.
-    pub fn forget(&mut self, name: &LifeName) {
-        self.lives.retain(|life| life.name != *name);
+    /// Removes an incarnation that turned out to be running.
+    pub fn forget(&mut self, incarnation: &LifeName) {
+        self.entries
+            .retain(|entry| entry.incarnation != *incarnation);
     }
 
-    /// Whether that life has ended.
-    pub fn contains(&self, name: &LifeName) -> bool {
-        self.lives.iter().any(|life| life.name == *name)
+    /// Whether the incarnation is known to have ended or deregistered.
+    pub fn contains(&self, incarnation: &LifeName) -> bool {
+        self.entries
+            .iter()
+            .any(|entry| entry.incarnation == *incarnation)
     }
 
-    /// Whether that life has said that it ends, and may not have yet.
-    pub fn is_leaving(&self, now: Timestamp, name: &LifeName) -> bool {
-        let life = self.lives.iter().find(|life| life.name == *name);
-        let deregistered = life.and_then(|life| life.deregistered);
+    /// Whether the incarnation has deregistered recently and may still be running.
+    pub fn is_leaving(&self, now: Timestamp, incarnation: &LifeName) -> bool {
+        let entry = self
+            .entries
+            .iter()
+            .find(|entry| entry.incarnation == *incarnation);
+        let deregistered = entry.and_then(|entry| entry.deregistered);
         deregistered.is_some_and(|at| now.since(at) <= LEAVING_PERIOD)
     }
 
-    fn note(&mut self, name: LifeName, deregistered: Option<Timestamp>) {
-        let known = self.lives.iter_mut().find(|life| life.name == name);
+    fn record(&mut self, incarnation: LifeName, deregistered: Option<Timestamp>) {
+        let known = self
+            .entries
+            .iter_mut()
+            .find(|entry| entry.incarnation == incarnation);
         if let Some(known) = known {
             known.deregistered = deregistered.or(known.deregistered);
             return;
         }
-        if self.lives.len() == MAX_INCARNATIONS {
-            self.lives.pop_front();
+        if self.entries.len() == MAX_INCARNATIONS {
+            self.entries.pop_front();
         }
-        self.lives.push_back(PastIncarnation { name, deregistered });
+        self.entries.push_back(PastIncarnation {
+            incarnation,
+            deregistered,
+        });
     }
 }
--- a/laurelstile-core/src/leased/agent/progress.rs
+++ b/laurelstile-core/src/leased/agent/progress.rs
@@ -1,4 +1,4 @@
-//! Runs that stand still, or are far slower than guessed.
+//! Detection of runs that stall or are much slower than estimated.
 
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -7,25 +7,25 @@
 use super::worker::WorkerClock;
 use super::{AgentEffect, LeasedAgent};
 
-/// A task that stands still for less is not called stalled, however short its
-/// estimate.
+/// Minimum time without progress after which a run counts as stalled.
 const MIN_STALL_TIMEOUT: Span = Span::from_millis(90);
-/// A task that stands still for longer is called stalled unless its estimate
-/// is so long that its progress shows only in larger steps.
+/// Maximum time without progress before a run counts as stalled, except where the estimate is so
+/// long that progress is visible only in larger steps.
 const MAX_STALL_TIMEOUT: Span = Span::from_millis(250);
-/// Share of the estimate that is one visible step of progress, with a margin.
+/// The estimate divided by this is the longest expected time between two visible steps of
+/// progress, including a margin.
 const PROGRESS_STEP_DIVISOR: u64 = 25;
-/// A task that would take this many times its estimate is called too slow.
+/// A run that is projected to take more than this many times its estimate is too slow.
 const SLOW_FACTOR: u64 = 4;
-/// A slow task is left alone from this progress on.
+/// Progress from which on a slow run is left to finish.
 const NEARLY_DONE_PERCENT: u32 = 60;
-/// A slow task is left alone if it is done within so long: starting it anew
-/// elsewhere takes time too.
+/// Projected remaining time up to which a slow run is left to finish, since a restart elsewhere
+/// takes time too.
 const MIN_REMAINING: Span = Span::from_millis(90);
 
 impl LeasedAgent {
-    /// Stops a run that makes no progress, or far too little, by the worker's
-    /// own clock: an agent that was slow itself must not blame the worker.
+    /// Stops a run that has stalled or is much too slow. Times are taken on the worker's clock,
+    /// so that a delay in the agent is not blamed on the worker.
     pub(super) fn check_progress(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/agent/proof.rs
+++ b/laurelstile-core/src/leased/agent/proof.rs
@@ -1,25 +1,26 @@
-//! What proves that a run is over.
+//! Evidence that a run has ended.
 
-/// Why an agent holds that nothing of a run is at work any more.
+/// Why an agent considers a run ended: nothing of it executes any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndProof {
-    /// No order to start it was sent.
+    /// No start command for it was sent.
     NotSent,
-    /// The worker answered that it did not start it.
+    /// The worker rejected its start.
     Rejected,
-    /// The worker lists its end.
+    /// The worker lists it as ended.
     Listed,
-    /// The worker, asked after the last change of it, does not list it.
+    /// The worker does not list it, in an answer to a watch sent after the last change of the
+    /// run.
     Unlisted,
-    /// The worker's process is gone: another life answers, or nobody listens any more where a
-    /// life was that had not said that it leaves.
+    /// The worker's process has ended: another incarnation answers, or connections are refused
+    /// although the incarnation had not announced its shutdown.
     LifeOver,
-    /// Nothing has renewed its lease, by the worker's own clock.
+    /// Its lease has expired on the worker's clock.
     LeaseOver,
 }
 
 impl EndProof {
-    /// Its name in logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
--- a/laurelstile-core/src/leased/agent/room_knowledge.rs
+++ b/laurelstile-core/src/leased/agent/room_knowledge.rs
@@ -1,80 +1,77 @@
-//! How long an agent may rely on what its worker last said of its room.
+//! How long the capacity that a worker last reported remains valid.
 //!
-//! A worker's room may shrink at any time, and its heartbeats alone tell. An agent that has
-//! heard none for long - its machine was dark, it stood still, it has just started and knows
-//! the worker from a record - starts nothing until the next one comes.
+//! A worker's capacity may shrink at any time, and only its heartbeats report that. An agent
+//! that has not received one for long (because of a network outage, a suspension, or a recent
+//! start from a record) starts nothing until the next one.
 
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
-/// How a worker's word about itself ages.
+/// Timing of a worker's heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatTimes {
-    /// Pause between two heartbeats of the worker.
+    /// Interval between two heartbeats of the worker.
     pub interval: Span,
-    /// How long room that has shrunk may be used once the next heartbeat was due.
+    /// How long after the next heartbeat was due an outdated capacity may still be used.
     pub grace: Span,
 }
 
-/// What is kept of the grace for a start that is on its way.
+/// Part of the grace period reserved for starts in flight.
 const IN_FLIGHT_MARGIN: Span = Span::from_millis(500);
 
 impl HeartbeatTimes {
-    /// How long a heartbeat is good for: until the next one in any case.
+    /// How long a heartbeat keeps the capacity valid: at least until the next one.
     fn heartbeat_validity(self) -> Span {
         let aged = (self.interval.0 + self.grace.0).saturating_sub(IN_FLIGHT_MARGIN.0);
         Span(aged.max(self.interval.0 + IN_FLIGHT_MARGIN.0))
     }
 }
 
-/// Until when the room of a worker's life may be relied on.
+/// Until when the reported capacity of an incarnation is valid.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityFreshness {
     fresh_until: Timestamp,
-    /// Whether the log was told that it has aged.
+    /// Whether its expiry has been logged.
     has_logged_staleness: bool,
 }
 
 impl CapacityFreshness {
-    /// A heartbeat came.
     pub fn on_heartbeat(&mut self, now: Timestamp, times: HeartbeatTimes) {
         self.fresh_until = self.fresh_until.max(now.after(times.heartbeat_validity()));
         self.has_logged_staleness = false;
     }
 
-    /// An earlier agent here was heard `silence` ago. The last heartbeat to it is older by
-    /// an interval at the most.
+    /// Accepts the capacity in the record if an earlier agent was heard `silence` ago. That
+    /// agent's last heartbeat is at most one interval older.
     pub fn on_predecessor(&mut self, now: Timestamp, silence: Span, times: HeartbeatTimes) {
         let age = silence.0 + times.interval.0;
         let left = times.heartbeat_validity().0.saturating_sub(age);
         self.fresh_until = self.fresh_until.max(now.after(Span(left)));
     }
 
-    /// Whether the room may be relied on.
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         now < self.fresh_until
     }
 
-    /// Whether it has aged, the first time that this is asked since the last heartbeat.
+    /// Whether the capacity has become invalid; true only once between two heartbeats.
     pub fn take_staleness_notice(&mut self, now: Timestamp) -> bool {
         !self.is_fresh(now) && !std::mem::replace(&mut self.has_logged_staleness, true)
     }
 
-    /// When that ends by time alone.
     pub fn fresh_until(&self) -> Timestamp {
         self.fresh_until
     }
 }
 
 impl LeasedAgent {
-    /// Notes for the log, once, that nothing starts any more because the worker is not heard.
+    /// Logs, once, that nothing starts because the worker's heartbeats are missing.
     pub(super) fn log_stale_capacity(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &self.worker else {
             return;
         };
         if self.capacity_freshness.take_staleness_notice(now) {
-            let life = worker.name.clone();
+            let life = worker.incarnation.clone();
             effects.push(AgentEffect::Decided(AgentDecision::RoomAged { life }));
         }
     }
--- a/laurelstile-core/src/leased/agent/sessions.rs
+++ b/laurelstile-core/src/leased/agent/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions to gateways, and what comes over them.
+//! Sessions to gateways and the messages received on them.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -9,8 +9,8 @@
 use crate::session::SessionId;
 
 impl LeasedAgent {
-    /// Tells the gateway of a session that there is no room for it, before the session is
-    /// closed, or takes that back. What it has sent meanwhile still starts.
+    /// Reports no free resources to the gateway of a session that is about to be closed, or
+    /// undoes that. Starts that the gateway has already sent are still carried out.
     pub fn release(&mut self, session: SessionId, is_released: bool) {
         let gateway = self.sessions.get(&session);
         if let Some(owner) = gateway.and_then(|gateway| self.owners.get_mut(gateway)) {
@@ -18,8 +18,7 @@
         }
     }
 
-    /// Whether nothing is under way for the gateway of a session: no run, and no end that
-    /// it has not acknowledged.
+    /// Whether the session's gateway has neither runs nor unacknowledged ends here.
     pub fn is_idle_for(&self, session: SessionId) -> bool {
         let Some(gateway) = self.sessions.get(&session) else {
             return true;
@@ -42,7 +41,7 @@
             .owners
             .entry(gateway)
             .or_insert_with(|| Owner::new(now));
-        // A new session of the same incarnation fences the old one.
+        // A new session of the same incarnation replaces the old one.
         if let Some(old) = owner.session {
             self.sessions.remove(&old);
             effects.push(AgentEffect::Close(old));
@@ -53,7 +52,7 @@
         self.log_resumed_session(gateway, silence, effects);
     }
 
-    /// Notes for the log that runs outlived a session: how old the gateway's latest word is.
+    /// Logs that runs have outlived a session, with the age of the gateway's latest echo.
     fn log_resumed_session(
         &self,
         gateway: Incarnation,
@@ -117,7 +116,7 @@
             ToAgentBody::Announce(announcements) => {
                 self.on_announced(now, gateway, &announcements);
             }
-            ToAgentBody::Evacuations(news) => self.on_evacuations(news, effects),
+            ToAgentBody::Evacuations(update) => self.on_evacuations(update, effects),
             ToAgentBody::Predecessor { silence } => self.on_predecessor(now, silence),
             ToAgentBody::Decline(offers) => {
                 for number in offers {
--- a/laurelstile-core/src/leased/agent/silence.rs
+++ b/laurelstile-core/src/leased/agent/silence.rs
@@ -1,4 +1,4 @@
-//! Gateways that are silent: what they left here is stopped, and their sessions are closed.
+//! Time-outs of gateways: runs of a silent gateway are stopped, and silent sessions are closed.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -8,20 +8,21 @@
 use crate::session::SessionId;
 
 /// How long a gateway without a session is remembered.
-const OWNER_RETENTION: Span = Span::from_secs(4);
-/// A session is closed, and its gateway dialed anew, if nothing has come over it for so
-/// long although this agent sent: a connection may go silent without an end while new ones
-/// work. Ten heartbeats of a busy session; two of an idle one, and some.
+const OWNER_TTL: Span = Span::from_secs(4);
+/// A session on which nothing arrives for this long is closed and the gateway dialed again,
+/// since a connection may fail without being closed. Ten heartbeat intervals of a busy session,
+/// and a little more than two of an idle one.
 const BUSY_SESSION_SILENCE: Span = Span::from_millis(1_000);
 const IDLE_SESSION_SILENCE: Span = Span::from_millis(2_200);
-/// How often an agent with sessions looks at the time, at least.
+/// Maximum interval between two checks for silent sessions.
 const SILENCE_CHECK_INTERVAL: Span = Span::from_millis(500);
-/// An agent that was not woken for longer has stood still: it has heard nothing because
-/// it did not listen.
+/// An agent that was not woken for longer than this was suspended: it received nothing because
+/// it did not run.
 const SUSPENSION_THRESHOLD: Span = Span::from_millis(700);
 
 impl LeasedAgent {
-    /// Stops what gateways that are silent have left here.
+    /// Stops the runs of gateways that are silent, and forgets gateways that have been gone for
+    /// long.
     pub(super) fn stop_runs_of_silent_owners(
         &mut self,
         now: Timestamp,
@@ -37,9 +38,10 @@
             self.stop_runs_of(now, *gateway, effects);
         }
         for gateway in silent {
-            let is_over = self.owners.get(&gateway).is_some_and(|owner| {
-                owner.session.is_none() && owner.echo_age(now) > OWNER_RETENTION
-            });
+            let is_over = self
+                .owners
+                .get(&gateway)
+                .is_some_and(|owner| owner.session.is_none() && owner.echo_age(now) > OWNER_TTL);
             if is_over && !self.owns_runs(gateway) {
                 self.owners.remove(&gateway);
             }
@@ -50,15 +52,15 @@
         self.runs.iter().any(|(_, run)| run.owner == gateway)
     }
 
-    /// Notes that the agent runs, and since when it has done so without a break. While it stood
-    /// still its worker may have started again: nothing starts there until it has been asked.
+    /// Records that the agent runs, and detects that it was suspended. The worker may have
+    /// restarted meanwhile, so nothing starts until it has been queried.
     pub(super) fn detect_suspension(&mut self, now: Timestamp) {
         if now.since(self.last_flush) > SUSPENSION_THRESHOLD {
             self.running_since = now;
             if let Some(worker) = self
                 .worker
                 .as_mut()
-                .filter(|worker| worker.name.may_return())
+                .filter(|worker| worker.incarnation.may_return())
             {
                 worker.has_synced = false;
             }
@@ -66,7 +68,7 @@
         self.last_flush = now;
     }
 
-    /// Closes the sessions over which nothing comes any more.
+    /// Closes the sessions on which nothing has arrived for too long.
     pub(super) fn close_silent_sessions(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let silent: Vec<(SessionId, Incarnation)> = self
             .sessions
@@ -88,7 +90,7 @@
         }
     }
 
-    /// When the session to a gateway is closed if nothing comes over it.
+    /// When the session to a gateway is closed unless something arrives.
     fn session_silent_at(&self, now: Timestamp, gateway: Incarnation) -> Option<Timestamp> {
         let owner = self.owners.get(&gateway)?;
         let limit = if self.heartbeat_interval(now, gateway, owner) == BUSY_HEARTBEAT {
@@ -100,7 +102,7 @@
         Some(heard.max(self.running_since).after(limit))
     }
 
-    /// When to look again whether a session is silent.
+    /// When to check again for silent sessions.
     pub(super) fn silence_check_at(&self, now: Timestamp) -> Option<Timestamp> {
         let gateways = self.sessions.values();
         let due = gateways.filter_map(|gateway| self.session_silent_at(now, *gateway));
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -1,5 +1,5 @@
-//! Starts: which tasks may start, which wait for room, and what becomes of
-//! orders without an answer.
+//! Starts: which tasks start, which wait for resources, and how unanswered start commands are
+//! handled.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -14,10 +14,10 @@
 use super::worker::{FenceToken, OrderFailure, Rejection, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderAnswer, OrderKind};
 
-/// Most tasks that wait here for room.
+/// Maximum number of tasks that wait here for resources.
 const MAX_WAITING: usize = 64;
-/// A token rises by this power of two at most at a time: 35 years in milliseconds, for a machine
-/// that did not know the time.
+/// Largest increase of a token, as a power of two: 35 years in milliseconds, enough for an agent
+/// whose host started without the wall-clock time.
 const MAX_TOKEN_DOUBLINGS: u32 = 40;
 
 impl LeasedAgent {
@@ -31,7 +31,7 @@
     ) {
         if let Some(owner) = self.owners.get_mut(&gateway) {
             owner.processed = owner.processed.max(batch.number);
-            owner.asked = Some(now);
+            owner.last_start_request = Some(now);
             if let Some(offer) = batch.offer {
                 owner.end_offer(offer);
             }
@@ -51,7 +51,7 @@
                 input: batch.input.clone(),
                 wait_until: now.after(Span::from_millis(u64::from(batch.patience_millis))),
                 sent: now,
-                life: IncarnationNumber::default(),
+                incarnation: IncarnationNumber::default(),
                 is_confirmed: false,
                 state: RunState::Waiting,
                 retry_stop_at: None,
@@ -98,7 +98,7 @@
         effects: &mut Vec<AgentEffect>,
     ) -> Option<NotStartedReason> {
         if self.runs.get(task).is_some() {
-            // Whoever asks last has the job now; the earlier run ends first.
+            // The latest request wins; the earlier run is stopped first.
             self.stop_run(now, task, StopReason::OwnerSilent, effects);
             return Some(NotStartedReason::Duplicate);
         }
@@ -116,7 +116,7 @@
         (!fits_at_once && !may_wait).then_some(NotStartedReason::Full)
     }
 
-    /// Room that is neither taken nor spoken for.
+    /// Resources that are neither taken, nor needed by waiting tasks, nor reserved by offers.
     pub(super) fn free_room(&self) -> super::Room {
         self.capacity()
             .minus(self.runs.taken())
@@ -124,8 +124,8 @@
             .minus(self.offered_room())
     }
 
-    /// Tasks that may still be taken in, by the worker's health; none beside one that is
-    /// to be alone.
+    /// Number of further tasks that the worker's health allows; 0 while an exclusive run is
+    /// present.
     pub(super) fn limit_left(&self, now: Timestamp) -> u32 {
         if self.runs.has_exclusive() {
             return 0;
@@ -134,7 +134,7 @@
         self.health.limit(now, count)
     }
 
-    /// Starts what waits and fits, the least patient first.
+    /// Starts the waiting tasks that fit, earliest wait deadline first.
     pub(super) fn start_waiting(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if self.runs.waiting() == 0 || !self.is_available(now) {
             return;
@@ -172,15 +172,15 @@
             lease_until,
         };
         self.runs.set_state(task, RunState::Starting);
-        let life = self.incarnation_number;
-        self.runs.note(task, |run| {
+        let incarnation = self.incarnation_number;
+        self.runs.update(task, |run| {
             run.sent = now;
-            run.life = life;
+            run.incarnation = incarnation;
         });
         self.order(kind, effects);
     }
 
-    /// Gives back what has waited for too long, or cannot start any more.
+    /// Returns waiting tasks whose time-out has passed, or that cannot start any more.
     pub(super) fn return_waiting(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if self.runs.waiting() == 0 {
             return;
@@ -215,7 +215,8 @@
         let state = self.runs.run(id).map(|run| run.state);
         match answer {
             Err(OrderFailure::LifeOver) => {
-                // The life was over before the order came: the run has no part in that.
+                // The incarnation had ended before the command arrived, so the run did not
+                // contribute to the end.
                 if state == Some(RunState::Starting) {
                     self.end_run(now, id.task, EndKind::Lost, EndProof::LifeOver, effects);
                 }
@@ -245,11 +246,11 @@
         }
     }
 
-    /// A start is proved to have been carried out.
+    /// Marks a start as confirmed.
     pub(super) fn mark_running(&mut self, now: Timestamp, task: TaskId) {
         let clock = self.worker_clock(now);
         self.runs.set_state(task, RunState::Running { since: now });
-        self.runs.note(task, |run| {
+        self.runs.update(task, |run| {
             run.is_confirmed = true;
             run.started = clock;
             run.progressed = clock;
@@ -289,8 +290,9 @@
         }
     }
 
-    /// The worker has seen a higher token than ours: take a higher one still, in steps that
-    /// double, since an earlier agent's time of day may have been ahead by any span.
+    /// Raises the fencing token after the worker has rejected it as too low. The increment
+    /// doubles each time, since the wall clock of an earlier agent may have been ahead by any
+    /// amount.
     pub(super) fn raise_token(&mut self) {
         if let Some(worker) = &mut self.worker {
             let step = 1 << worker.fenced.min(MAX_TOKEN_DOUBLINGS);
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -1,4 +1,4 @@
-//! Stops: who asks for them, and what becomes of those without an answer.
+//! Stops: who requests them, and how unanswered stop commands are handled.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -12,10 +12,11 @@
 use super::worker::{OrderFailure, Rejection};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderAnswer, OrderKind};
 
-/// Pause before a stop is sent for the third time and later: a worker that breaks
-/// every connection would otherwise be called without end.
+/// Delay before the third and later attempts of a stop, so that a worker that drops every
+/// connection is not called in a tight loop.
 const STOP_RETRY_DELAY: Span = Span::from_millis(20);
-/// The same once the lease is over: only a start that no life has shown is still stopped then.
+/// The same once the lease has expired. Only a start that no incarnation has confirmed is still
+/// being stopped then.
 const EXPIRED_STOP_RETRY_DELAY: Span = Span::from_millis(200);
 
 impl LeasedAgent {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Begins to stop a run, or ends it if it only waits here.
+    /// Begins to stop a run, or returns it if it is still waiting.
     pub(super) fn stop_run(
         &mut self,
         now: Timestamp,
@@ -108,7 +109,7 @@
                     self.watch_at_once(now);
                 }
                 if self.runs.run(id).is_some() {
-                    self.runs.note(id.task, |run| {
+                    self.runs.update(id.task, |run| {
                         run.retry_stop_at = Some(now.after(stop_retry_delay(run, now)));
                         run.unanswered_stops += 1;
                     });
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Notes for the log, once for a run, that its stop takes longer than a stop may.
+    /// Logs, once per run, that its stop takes longer than it may.
     fn log_unanswered_stop(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
         let Some(run) = self.runs.run(id) else {
             return;
@@ -150,7 +151,7 @@
             return;
         }
         self.runs
-            .note(id.task, |run| run.has_logged_overdue_stop = true);
+            .update(id.task, |run| run.has_logged_overdue_stop = true);
         effects.push(AgentEffect::Decided(AgentDecision::StopUnanswered {
             run: id,
             reason: reason.name(),
@@ -159,8 +160,9 @@
         }));
     }
 
-    /// Nobody listens for orders: whether the worker is gone, its watch tells. That has a
-    /// connection of its own, which a process that has only closed its door still serves.
+    /// Sends a watch at once after a refused connection, to find out whether the worker has
+    /// ended. Watches have a connection of their own, which a process that has stopped listening
+    /// still serves.
     pub(super) fn watch_at_once(&mut self, now: Timestamp) {
         if let Some(worker) = &mut self.worker {
             worker.has_pending_watch = true;
@@ -168,13 +170,13 @@
         }
     }
 
-    /// Sends stops that got no answer again.
+    /// Sends unanswered stops again.
     pub(super) fn retry_stops(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let due = self
             .runs
             .tasks_where(|run| run.retry_stop_at.is_some_and(|again| now >= again));
         for task in due {
-            self.runs.note(task, |run| run.retry_stop_at = None);
+            self.runs.update(task, |run| run.retry_stop_at = None);
             if let Some(run) = self.runs.get(task).map(|run| run.number) {
                 let run = RunId { task, run };
                 self.order(OrderKind::Stop { run }, effects);
@@ -198,7 +200,7 @@
     }
 }
 
-/// Pause before a stop is sent again that has just had no answer.
+/// Delay before an unanswered stop is sent again.
 fn stop_retry_delay(run: &Run, now: Timestamp) -> Span {
     if run.unanswered_stops == 0 {
         Span::default()
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -1,5 +1,5 @@
-//! The watch: renews the leases, takes in the worker's lists, and proves which
-//! runs have ended.
+//! The watch: a long poll that renews the lease and returns the worker's run lists, which show
+//! what has ended.
 
 use std::collections::BTreeSet;
 
@@ -17,22 +17,23 @@
 use super::worker::{OrderFailure, Rejection, WorkerEnd, WorkerEndKind, WorkerLists};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderKind, WatchAnswer};
 
-/// How long the worker may wait for an end before it answers.
+/// How long the worker may wait for a run to end before it answers.
 const WATCH_WAIT: Span = Span::from_millis(30);
-/// Pause after the second watch in a row without an answer; it doubles so many
-/// times. The first is repeated at once.
+/// Delay after the second consecutive unanswered watch, doubled for each further one at most
+/// [`MAX_WATCH_DOUBLINGS`] times. The first one is repeated at once.
 const WATCH_RETRY_DELAY: Span = Span::from_millis(10);
 const MAX_WATCH_DOUBLINGS: u32 = 4;
-/// Watches without an answer after which the leases are left to lapse.
+/// Consecutive unanswered watches after which the lease is no longer renewed.
 const SILENT_WATCHES: u32 = 2;
-/// Pause before a stop is sent again to a run that this agent did not start.
+/// Interval between two stops for the same orphaned run.
 const ORPHAN_STOP_INTERVAL: Span = Span::from_millis(100);
+
 impl LeasedAgent {
-    /// Sends the next watch if one is wanted and none is under way.
+    /// Sends the next watch if one is wanted and none is pending.
     pub(super) fn watch(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let active = self.runs.active();
-        // The lists alone prove that a stopped run is over: they are wanted at
-        // once.
+        // Only the run lists confirm the end of a stopped run, so they are requested without a
+        // wait.
         let awaits_proof = self.runs.iter().any(|(_, run)| {
             let RunState::Stopping { answered, .. } = run.state else {
                 return false;
@@ -52,7 +53,7 @@
         if worker.watching.is_some() || !is_wanted || now < worker.watch_from {
             return;
         }
-        let is_renewing = active > 0 && !worker.is_lease_expiring();
+        let is_renewing = active > 0 && !worker.is_expiring();
         let may_wait = active > 0
             && worker.has_synced
             && worker.successor.is_none()
@@ -88,13 +89,13 @@
         let Some(worker) = &mut self.worker else {
             return;
         };
-        let asked = worker.watching.take().unwrap_or(now);
+        let queried_at = worker.watching.take().unwrap_or(now);
         match answer {
             Err(OrderFailure::LifeOver) => {
                 self.on_incarnation_ended(now, name, LifeEnd::Superseded, effects);
             }
-            // A process that has died listens no more. One that leaves may close its door first
-            // and run on, so its leases are left to lapse.
+            // A crashed process no longer listens. One that is shutting down may stop listening
+            // while its runs continue, so its leases are left to expire.
             Err(OrderFailure::Refused) if !worker.is_leaving() => {
                 self.on_incarnation_ended(now, name, LifeEnd::Crashed, effects);
             }
@@ -102,27 +103,28 @@
                 worker.unanswered_watches += 1;
                 worker.watch_from = now.after(watch_retry_delay(worker.unanswered_watches));
                 if worker.unanswered_watches == 1 {
-                    let life = worker.name.clone();
+                    let life = worker.incarnation.clone();
                     effects.push(AgentEffect::Decided(AgentDecision::WorkerSilent { life }));
                 }
             }
-            Ok(answer) => self.on_watch_answered(now, asked, answer, effects),
+            Ok(answer) => self.on_watch_answered(now, queried_at, answer, effects),
         }
     }
 
     fn on_watch_answered(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        queried_at: Timestamp,
         answer: WatchAnswer,
         effects: &mut Vec<AgentEffect>,
     ) {
         let Some(worker) = &mut self.worker else {
             return;
         };
-        if let Some(born) = worker.detected_restart(asked, answer.born) {
-            // Its lists answer an order for the life before. The next watch has the token that
-            // fences off whatever is still under way for that.
+        if let Some(born) = worker.detected_restart(queried_at, answer.born) {
+            // These lists answer a command for the previous incarnation. The next watch carries
+            // a new token, which fences off commands for the previous one that are still in
+            // flight.
             let listed = answer.lists.as_ref().map(WorkerLists::listed);
             self.on_restarted(now, born, &listed.unwrap_or_default(), effects);
             self.update_clock(now, answer.clock);
@@ -130,19 +132,19 @@
         }
         worker.unanswered_watches = 0;
         worker.expired_tasks.clear();
-        self.dismiss_successor(asked, effects);
+        self.dismiss_successor(queried_at, effects);
         self.update_clock(now, answer.clock);
         match answer.lists {
             Ok(lists) => {
                 self.confirm_acknowledged();
-                self.on_lists(now, asked, &lists, effects);
+                self.on_lists(now, queried_at, &lists, effects);
             }
             Err(Rejection::Fenced) => self.raise_token(),
             Err(_) => {}
         }
     }
 
-    /// The worker has done what the latest watch told it.
+    /// Records that the worker has processed the latest watch.
     fn confirm_acknowledged(&mut self) {
         if let Some(worker) = &mut self.worker {
             worker.acknowledged = worker.acknowledged.max(worker.last_seen_sent);
@@ -152,7 +154,7 @@
     fn on_lists(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        queried_at: Timestamp,
         lists: &WorkerLists,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -164,7 +166,7 @@
         }
         let running: BTreeSet<RunId> = lists.running.iter().map(|(run, _)| *run).collect();
         if lists.unreadable == 0 {
-            self.end_unlisted(now, asked, &running, effects);
+            self.end_unlisted(now, queried_at, &running, effects);
         }
         self.discard_held_starts(now, effects);
         let Some(worker) = &mut self.worker else {
@@ -175,7 +177,7 @@
         if worker.orphans.is_empty() && !worker.has_logged_control {
             worker.has_logged_control = true;
             let decision = AgentDecision::InControl {
-                life: worker.name.clone(),
+                life: worker.incarnation.clone(),
                 token: worker.token,
             };
             effects.push(AgentEffect::Decided(decision));
@@ -221,20 +223,20 @@
             self.stop_orphan(now, id, effects);
             return;
         };
-        let (state, old_percent, life) = (run.state, run.percent, run.life);
+        let (state, old_percent, incarnation) = (run.state, run.percent, run.incarnation);
         if state == RunState::Starting {
-            // The answer to its start is late or lost; the list proves it.
+            // The answer to the start is delayed or lost; the list confirms the start.
             self.mark_running(now, id.task);
         }
         self.runs.confirm(id);
-        if life != self.incarnation_number {
-            // Its lease is by the clock of the life before, and may last longer than any.
+        if incarnation != self.incarnation_number {
+            // Its lease was set on the clock of the previous incarnation and may last too long.
             self.stop_run(now, id.task, StopReason::LifeChanged, effects);
             return;
         }
         let clock = self.worker_clock(now);
         if percent > old_percent {
-            self.runs.note(id.task, |run| {
+            self.runs.update(id.task, |run| {
                 run.percent = percent;
                 run.progressed = clock;
             });
@@ -242,8 +244,8 @@
         self.check_progress(now, clock, id.task, effects);
     }
 
-    /// A run at the worker that is not in the ledger: nobody answers for it,
-    /// and its room is unknown. It is stopped, and nothing starts until then.
+    /// Stops an orphaned run: the worker lists it, but the agent does not know it. Its resources
+    /// are unknown, so nothing starts until it has ended.
     fn stop_orphan(&mut self, now: Timestamp, id: RunId, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -258,34 +260,32 @@
         }
     }
 
-    /// Ends the runs that the worker, asked after their last change, lists
-    /// neither as running nor as ended.
+    /// Ends the runs that the worker, queried after their last change, lists neither as running
+    /// nor as ended.
     fn end_unlisted(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        queried_at: Timestamp,
         running: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let present = self.incarnation_number;
+        let current = self.incarnation_number;
         let over: Vec<(TaskId, EndKind)> = self
             .runs
             .iter()
             .filter(|(task, run)| !running.contains(&run.id(*task)))
-            .filter_map(|(task, run)| Some((task, end_if_unlisted(asked, run, present)?)))
+            .filter_map(|(task, run)| Some((task, end_if_unlisted(queried_at, run, current)?)))
             .collect();
         for (task, how) in over {
             self.end_run(now, task, how, EndProof::Unlisted, effects);
         }
     }
 
-    /// A silent worker has let everything lapse once the last renewal is old
-    /// enough; gateways may repeat it. Its room stays unknown, so nothing
-    /// starts there until its lists have come.
+    /// Ends all runs of a silent worker once the lease has expired; their gateways may repeat
+    /// them. Nothing starts there until new run lists have arrived.
     pub(super) fn end_expired_runs(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let has_expired = |worker: &WorkerState| {
-            worker.is_lease_expiring() && now >= lease_expired_at(worker.renewed)
-        };
+        let has_expired =
+            |worker: &WorkerState| worker.is_expiring() && now >= lease_expired_at(worker.renewed);
         if !self.worker.as_ref().is_some_and(has_expired) {
             return;
         }
@@ -305,7 +305,7 @@
         self.replace_expired_incarnation(now, effects);
     }
 
-    /// When a watch or stop may be sent again.
+    /// When watches or stops are next sent again.
     pub(super) fn retry_at(&self, now: Timestamp) -> impl Iterator<Item = Timestamp> {
         let watch = self.worker.as_ref().map(|worker| worker.watch_from);
         let watch = watch.filter(|from| *from > now);
@@ -313,27 +313,27 @@
         stops.chain(watch)
     }
 
-    /// When [`Self::end_lapsed`] has something to do.
+    /// When [`Self::end_expired_runs`] is next due.
     pub(super) fn lease_expiry_at(&self) -> Option<Timestamp> {
         let worker = self.worker.as_ref()?;
-        let is_expiring = worker.is_lease_expiring() && !self.expiring_tasks().is_empty();
+        let is_expiring = worker.is_expiring() && !self.expiring_tasks().is_empty();
         is_expiring.then(|| lease_expired_at(worker.renewed))
     }
 
-    /// Tasks that are over once the lease is. The start of a run that nothing shows to have
-    /// been carried out is not, where the worker may have started again under its id: its lease
-    /// is by a clock that has begun anew.
+    /// Tasks that are over once the lease has expired. An unconfirmed start is not, if the
+    /// worker may have restarted under the same id: the clock that the lease refers to may have
+    /// started again.
     fn expiring_tasks(&self) -> Vec<TaskId> {
         let worker = self.worker.as_ref();
-        let may_return = worker.is_some_and(|worker| worker.name.may_return());
+        let may_return = worker.is_some_and(|worker| worker.incarnation.may_return());
         self.runs
             .tasks_where(|run| run.takes_room() && !(may_return && run.is_unconfirmed()))
     }
 }
 
 impl WorkerState {
-    /// Whether its lease is renewed no more: the worker is silent, or has deregistered.
-    fn is_lease_expiring(&self) -> bool {
+    /// Whether the lease is no longer renewed, because the worker is silent or has deregistered.
+    fn is_expiring(&self) -> bool {
         self.is_silent() || self.has_deregistered()
     }
 
@@ -341,9 +341,9 @@
         self.unanswered_watches >= SILENT_WATCHES
     }
 
-    /// The number up to which the worker may forget its ends; 0 if it has been told. What it
-    /// knows is not said again: a process that has started again under the id, unseen as yet,
-    /// would forget its own first ends.
+    /// The entry number up to which the worker may discard ended runs; 0 if it has already
+    /// received that number. A number is not repeated: a process that has restarted under the
+    /// same id unnoticed would discard its own first entries.
     fn take_acknowledgement(&mut self) -> u64 {
         self.last_seen_sent = self.last_seen;
         if self.last_seen > self.acknowledged {
@@ -361,21 +361,25 @@
     }
 }
 
-/// How a run has ended that the worker in its `present` life, asked at `asked`, does not list;
-/// `None` if it may yet be listed.
-fn end_if_unlisted(asked: Timestamp, run: &Run, present: IncarnationNumber) -> Option<EndKind> {
+/// How a run ended that the worker, queried at `queried_at`, does not list; `None` if it may still be
+/// listed. `current` is the current incarnation.
+fn end_if_unlisted(
+    queried_at: Timestamp,
+    run: &Run,
+    current: IncarnationNumber,
+) -> Option<EndKind> {
     match run.state {
         RunState::Waiting | RunState::Starting => None,
-        RunState::Running { since } => (since < asked).then_some(EndKind::Lost),
+        RunState::Running { since } => (since < queried_at).then_some(EndKind::Lost),
         RunState::Stopping {
             reason, answered, ..
         } => {
-            // After its stop was answered a run is never started; without an
-            // answer its start is void once the lease in it is over, by the clock of the life
-            // for which it was meant.
-            let is_lease_over = asked.since(run.sent).0 > LEASE_AT_MOST.0 + STOP_AT_MOST.0;
-            let is_void = is_lease_over && run.life == present;
-            let is_stopped = answered.is_some_and(|answered| answered < asked);
+            // A run never starts after its stop was answered. Without an answer, its start is
+            // void once its lease has expired on the clock of the incarnation that it was sent
+            // to.
+            let is_lease_over = queried_at.since(run.sent).0 > LEASE_AT_MOST.0 + STOP_AT_MOST.0;
+            let is_void = is_lease_over && run.incarnation == current;
+            let is_stopped = answered.is_some_and(|answered| answered < queried_at);
             (is_void || is_stopped).then(|| end_of_stop(reason))
         }
     }
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of its worker: its life, its clock, its state.
+//! What an agent knows of its worker: incarnation, clock, capacity and run lists.
 
 use std::collections::BTreeSet;
 
@@ -9,75 +9,75 @@
 use super::super::room::Room;
 use super::super::task::RunId;
 
-/// A reading of the worker's own steady clock, in milliseconds.
+/// A reading of the worker's monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WorkerClock(pub u64);
 
 impl WorkerClock {
-    /// The span from `earlier` to this reading; zero if `earlier` is later.
+    /// The time from `earlier` to this reading; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Span {
         Span::from_millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// Token that every order carries; the worker does nothing for a lower one
-/// than it has seen.
+/// Fencing token of a command. The worker rejects a token lower than the highest that it has
+/// seen.
 ///
-/// It rises with each life that an agent follows, so that an order for the life before, which
-/// comes late, is fenced off by the first order for the next. From agent to agent it rises with
-/// the time of day of their machine: one agent stands beside a worker at a time. The worker's own
-/// clock would not do, since it begins anew with each life.
+/// The token rises with each incarnation that an agent follows, so that the first command for
+/// the next incarnation fences off delayed commands for the previous one. From one agent to the
+/// next it rises with the wall-clock time of their host; a worker has one agent at a time. The
+/// worker's own clock is unsuitable, since it restarts with each incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FenceToken(pub u64);
 
-/// What a worker tells of itself when it registers and with each heartbeat.
+/// What a worker reports when it registers and with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Which life of the worker speaks.
+    /// Incarnation of the worker that sent it.
     pub life: LifeName,
-    /// The service that it serves.
+    /// Name of the service that it serves.
     pub service: String,
-    /// Its room.
+    /// Total capacity.
     pub capacity: Room,
-    /// Its labels.
+    /// Labels that placement rules refer to.
     pub labels: Vec<String>,
-    /// Its clock.
+    /// Reading of the worker's clock.
     pub clock: WorkerClock,
-    /// Whether it is to be given no more work.
+    /// Whether it is to get no more tasks.
     pub draining: bool,
-    /// Rises with each of its life's heartbeats, so that a late one is known; 0 if the
-    /// worker does not count them.
+    /// Rises with each heartbeat of an incarnation, so that delayed ones are recognized; 0 if
+    /// the worker does not count them.
     #[serde(default)]
     pub sequence: u64,
 }
 
-/// What a later agent must know of a worker's life.
+/// The record of an incarnation that is stored for the next agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLife {
-    /// What it has said of itself, with the least room that it has had.
+    /// The latest registration, with the smallest capacity reported so far.
     pub registration: Registration,
-    /// Whether a later agent that did not know this would use the worker wrongly: it drains, or
-    /// has less room than it said first.
+    /// Whether an agent without this record would misuse the worker, because it is draining or
+    /// has less capacity than it first reported.
     pub is_vital: bool,
 }
 
-/// How a worker says that a run has ended.
+/// How a worker reports that a run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerEndKind {
-    /// Done.
+    /// It completed.
     Done,
-    /// Failed.
+    /// It failed.
     Failed,
-    /// Stopped by an order.
+    /// It was stopped by a command.
     Stopped,
-    /// Not renewed in time, or broken off for another reason.
+    /// Its lease expired, or it was aborted for another reason.
     Lapsed,
 }
 
-/// An entry of the worker's list of ends.
+/// An entry in the worker's list of ended runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerEnd {
-    /// Number of the entry in this life.
+    /// Number of the entry, rising within an incarnation.
     pub number: u64,
     /// The run.
     pub run: RunId,
@@ -85,20 +85,20 @@
     pub how: WorkerEndKind,
 }
 
-/// A worker's lists of what runs and what has ended.
+/// A worker's lists of running and ended runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkerLists {
-    /// What runs, with its progress in percent.
+    /// Running runs, with their progress in percent.
     pub running: Vec<(RunId, u32)>,
-    /// What has ended and is not yet known to have been seen.
+    /// Ended runs that the agent has not acknowledged yet.
     pub ended: Vec<WorkerEnd>,
-    /// Entries that could not be read. Each may be any run: that one is not listed proves
-    /// nothing then.
+    /// Number of entries that could not be parsed. Each may be any run, so the absence of a run
+    /// proves nothing unless this is 0.
     pub unreadable: usize,
 }
 
 impl WorkerLists {
-    /// All runs that they name.
+    /// All runs in both lists.
     pub fn listed(&self) -> BTreeSet<RunId> {
         let running = self.running.iter().map(|(run, _)| *run);
         running
@@ -107,31 +107,31 @@
     }
 }
 
-/// Why an order had no effect.
+/// Why a worker did not carry out a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The worker has seen a higher token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// It has seen this run or a later one.
+    /// The worker has seen this run of the task or a later one.
     OldRun,
-    /// The lease in the order is over.
+    /// The lease in the command has expired.
     Late,
-    /// There is no room.
+    /// The worker's resources do not suffice.
     Full,
-    /// The worker holds itself to be unwell.
+    /// The worker considers itself unhealthy.
     Unhealthy,
-    /// The order is not understood, or not allowed.
+    /// The command is malformed or not permitted.
     Invalid,
 }
 
-/// Why there is no answer to an order.
+/// Why a command got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFailure {
-    /// Nothing came in time: it may have been carried out, or may be later.
+    /// No answer arrived in time. The command may have been carried out, or may be yet.
     NoAnswer,
-    /// That life of the worker is over: another answers in its place.
+    /// The addressed incarnation has ended; another one answers in its place.
     LifeOver,
-    /// Nobody listens there: nothing was sent.
+    /// The connection was refused; nothing was sent.
     Refused,
 }
 
@@ -142,14 +142,14 @@
     taken: Timestamp,
 }
 
-/// Rate of the slowest clock that a worker may have, in percent of this machine's.
+/// Rate of the slowest clock that a worker may have, in percent of the agent's clock.
 const SLOWEST_CLOCK_PERCENT: u64 = 98;
-/// Age at which a reading is replaced even by one that lags behind it.
+/// Age in microseconds from which on a reading is replaced even by a lower one.
 const READING_AGE_MICROS: u64 = 1_000_000;
 
 impl ClockEstimate {
-    /// Takes a reading in that came at `now`. A reading that took long to come
-    /// lags; it replaces a better one only once that is old.
+    /// Records a reading received at `now`. A reading that was delayed on the way is too low; it
+    /// replaces a higher one only once that is old.
     pub fn update(&mut self, now: Timestamp, reading: WorkerClock) {
         let is_old = now.since(self.taken).0 > READING_AGE_MICROS;
         if is_old || reading >= self.at(now) {
@@ -158,14 +158,14 @@
         }
     }
 
-    /// The worker's clock at `now`, if it is as fast as this machine's.
+    /// The worker's clock at `now`, assuming that it runs at the same rate as the agent's.
     pub fn at(&self, now: Timestamp) -> WorkerClock {
         WorkerClock(self.reading.0 + now.since(self.taken).0 / 1_000)
     }
 
-    /// What the worker's clock reads at `now` at least, however slow it may be. A lease that is
-    /// counted from this is over in time: counted from [`Self::at`], with a reading 1 s old, it
-    /// lasted up to 20 ms longer than [`super::super::timing::LEASE_AT_MOST`].
+    /// Lower bound of the worker's clock at `now`, assuming the slowest permitted clock. Lease
+    /// ends are computed from this, because one computed from [`Self::at`] with an old reading
+    /// could exceed [`super::super::timing::LEASE_AT_MOST`].
     pub fn at_least(&self, now: Timestamp) -> WorkerClock {
         let since = now.since(self.taken).0 * SLOWEST_CLOCK_PERCENT / 100_000;
         let before = self.taken.since(now).0.div_ceil(1_000);
