--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -1,4 +1,4 @@
-//! The agent beside a leased worker.
+//! The agent of a leased worker: starts, stops, run lists, planned shutdown and recovery.
 
 mod leased_support;
 
@@ -15,7 +15,7 @@
 use rstest::rstest;
 
 #[test]
-fn nothing_starts_before_the_worker_is_under_control() {
+fn nothing_starts_before_the_first_run_lists() {
     let mut rig = AgentRig::new();
     rig.register(at(0), "life-1", cpu(4_000), false);
     let batch = rig.batch(1, 1, 4);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_an_earlier_agent_left_is_stopped_before_anything_starts() {
+fn orphaned_runs_are_stopped_before_anything_starts() {
     let mut rig = AgentRig::new();
     rig.register(at(0), "life-1", cpu(4_000), false);
     let left = run(9, 0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn starts_never_exceed_the_room() {
+fn starts_never_exceed_the_capacity() {
     let mut rig = AgentRig::in_control(cpu(3_000));
     let batch = rig.batch(1, 5, 50);
     rig.message(at(1), batch);
@@ -55,12 +55,12 @@
     assert_eq!(
         rig.take_starts().len(),
         1,
-        "the room of an end goes to the next"
+        "freed resources go to the next task"
     );
 }
 
 #[test]
-fn a_task_that_waits_too_long_comes_back() {
+fn a_task_that_waits_too_long_is_returned() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
@@ -72,25 +72,22 @@
 }
 
 #[test]
-fn a_start_without_an_answer_keeps_its_room_until_its_stop_is_proved() {
+fn an_unanswered_start_takes_resources_until_its_stop_is_confirmed() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.lose_start(at(70), id);
     assert_eq!(rig.take_stops(), vec![id]);
-    // The stop gets no answer either: it is repeated.
+    // The stop is not answered either, so it is sent again.
     rig.answer_stop(at(140), id, false);
-    assert_eq!(rig.take_stops(), vec![id], "once at once");
+    assert_eq!(rig.take_stops(), vec![id], "the first retry is immediate");
     rig.answer_stop(at(145), id, false);
-    assert!(rig.take_stops().is_empty(), "then after a pause");
+    assert!(rig.take_stops().is_empty(), "the second retry is delayed");
     rig.tick(at(170));
     assert_eq!(rig.take_stops(), vec![id]);
     rig.answer_watch(at(150), WorkerLists::default());
-    assert!(
-        rig.ends().is_empty(),
-        "nothing proves that it will not start"
-    );
+    assert!(rig.ends().is_empty(), "the start may still be carried out");
     assert_eq!(rig.machine.taken_room(), cpu(1_000));
     rig.answer_stop(at(160), id, true);
     rig.answer_watch(at(170), WorkerLists::default());
@@ -101,7 +98,7 @@
 }
 
 #[test]
-fn a_start_that_the_list_shows_needs_no_answer() {
+fn a_listed_start_needs_no_answer() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -127,10 +124,9 @@
     assert_eq!(rig.take_stops(), vec![id]);
 }
 
-/// What a gateway sent before it froze may come late: it does not make the
-/// gateway look alive.
+/// A delayed message that a gateway sent before it froze must not make it appear alive.
 #[test]
-fn a_message_with_an_old_echo_does_not_renew() {
+fn a_message_with_an_old_echo_does_not_renew_the_lease() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
@@ -153,7 +149,7 @@
 }
 
 #[test]
-fn a_gateway_whose_process_has_ended_has_its_runs_stopped_at_once() {
+fn runs_of_a_gateway_whose_process_has_ended_are_stopped_at_once() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -164,7 +160,7 @@
 }
 
 #[test]
-fn a_draining_worker_starts_nothing_more() {
+fn nothing_starts_on_a_draining_worker() {
     let mut rig = AgentRig::in_control(cpu(2_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
@@ -180,27 +176,30 @@
         (task(2, 0), EndKind::NotStarted(reason)),
         (task(1, 0), EndKind::Done),
     ];
-    assert_eq!(rig.ends(), expected, "what runs goes on");
+    assert_eq!(rig.ends(), expected, "runs continue");
 }
 
 #[test]
-fn a_new_life_of_the_worker_ends_the_runs_of_the_old_one() {
+fn runs_of_an_ended_incarnation_are_lost() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(2), id, None);
     rig.register(at(10), "life-2", cpu(1_000), false);
-    assert!(rig.ends().is_empty(), "its heartbeat alone proves nothing");
+    assert!(
+        rig.ends().is_empty(),
+        "a heartbeat alone is no evidence of the end"
+    );
     rig.end_life(at(11));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Lost)]);
-    // A late word of the old life changes nothing.
+    // A delayed heartbeat of the old incarnation is ignored.
     rig.register(at(12), "life-1", cpu(1_000), false);
     assert!(!rig.is_available());
 }
 
 #[test]
-fn a_worker_that_refuses_connections_is_dead() {
+fn runs_of_a_superseded_worker_are_lost() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -219,7 +218,7 @@
 }
 
 #[test]
-fn a_silent_worker_has_let_its_runs_lapse_after_the_lease() {
+fn runs_of_a_silent_worker_are_lost_once_the_lease_has_expired() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
@@ -227,19 +226,23 @@
     rig.answer_start(at(1), id, None);
     rig.lose_watch(at(200));
     rig.lose_watch(at(400));
-    assert!(rig.take_watches().is_empty(), "not at once again");
+    assert!(rig.take_watches().is_empty(), "the second retry is delayed");
     rig.tick(at(420));
-    assert_eq!(rig.take_watches(), vec![(0, false)], "no longer renewed");
+    assert_eq!(
+        rig.take_watches(),
+        vec![(0, false)],
+        "the lease is no longer renewed"
+    );
     rig.message(at(600), ToAgentBody::Heartbeat);
     assert!(rig.ends().is_empty());
     rig.message(at(1_000), ToAgentBody::Heartbeat);
     rig.tick(at(1_020));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Lost)]);
-    assert!(!rig.is_available(), "its room is unknown");
+    assert!(!rig.is_available(), "its free resources are unknown");
 }
 
 #[test]
-fn ends_are_acknowledged_to_the_worker() {
+fn ended_runs_are_acknowledged_to_the_worker() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -254,7 +257,7 @@
 #[case::full(Rejection::Full, EndKind::NotStarted(NotStartedReason::Full))]
 #[case::late(Rejection::Late, EndKind::NotStarted(NotStartedReason::Refused))]
 #[case::unhealthy(Rejection::Unhealthy, EndKind::NotStarted(NotStartedReason::Refused))]
-fn rejected_starts_come_back(#[case] rejection: Rejection, #[case] how: EndKind) {
+fn rejected_starts_are_returned(#[case] rejection: Rejection, #[case] how: EndKind) {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_everything_is_left_alone_and_tried_again() {
+fn a_worker_that_fails_every_task_is_put_on_probation() {
     let mut rig = AgentRig::in_control(cpu(8_000));
     let batch = rig.batch(1, 4, 4);
     rig.message(at(1), batch);
@@ -285,7 +288,7 @@
 }
 
 #[test]
-fn a_task_that_stands_still_is_given_back() {
+fn a_stalled_task_is_returned() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
@@ -301,11 +304,11 @@
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Stalled)]);
 }
 
-/// One bad task would else put worker after worker on probation.
+/// Otherwise a single bad task would put one worker after another on probation.
 #[rstest]
-#[case::the_first_time(false, 0)]
-#[case::as_on_another_worker(true, UNLIMITED)]
-fn a_worker_is_not_blamed_for_a_task_that_has_stood_still_elsewhere(
+#[case::first_stall(false, 0)]
+#[case::stalled_on_another_worker(true, UNLIMITED)]
+fn a_task_that_has_stalled_elsewhere_does_not_affect_the_workers_health(
     #[case] has_stalled: bool,
     #[case] limit: u32,
 ) {
@@ -327,7 +330,7 @@
 }
 
 #[test]
-fn a_task_that_is_far_too_slow_is_given_back_with_the_time_it_would_take() {
+fn a_task_that_is_too_slow_is_returned_with_its_projected_run_time() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
@@ -345,10 +348,10 @@
     assert_eq!(rig.ends(), vec![(task(1, 0), how)]);
 }
 
-/// Found on a calm day: estimates are rough, and a task that takes many times its
-/// own is no reason to stop it while its worker does others at a normal pace.
+/// Estimates are rough: a slow task must not be stopped while its worker completes others at a
+/// normal pace.
 #[test]
-fn a_slow_task_is_left_to_run_while_later_ones_are_done_in_good_time() {
+fn a_slow_task_continues_while_later_ones_complete_at_a_normal_pace() {
     let mut rig = AgentRig::in_control(cpu(2_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
@@ -368,10 +371,10 @@
     assert_eq!(rig.last_report().map(|report| report.limit), Some(u32::MAX));
 }
 
-/// Found on an overloaded day: every gateway heard of each bit of room at the same
-/// moment, and most of what they sent for it came back.
+/// If all gateways learned of freed resources at once, most of the starts that they send would
+/// be returned.
 #[test]
-fn the_gateway_whose_task_ended_hears_of_the_room_before_the_others() {
+fn freed_resources_are_reported_first_to_the_gateway_whose_task_ended() {
     let other = SessionId(71);
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.open(at(0), other, Incarnation(8));
@@ -387,16 +390,24 @@
     let batch = rig.batch(2, 1, 4);
     rig.message(at(103), batch);
     rig.tick(at(120));
-    assert_eq!(rig.told_room(other), Some(0), "it is taken again");
+    assert_eq!(
+        rig.told_room(other),
+        Some(0),
+        "the resources are in use again"
+    );
     let id = rig.take_starts()[0];
     rig.answer_start(at(121), id, None);
     rig.answer_watch(at(200), lists(&[], &[(2, id, WorkerEndKind::Done)]));
     rig.tick(at(210));
-    assert_eq!(rig.told_room(other), Some(1_000), "nobody has taken it");
+    assert_eq!(
+        rig.told_room(other),
+        Some(1_000),
+        "the resources are still free"
+    );
 }
 
 #[test]
-fn the_same_task_of_another_gateway_ends_the_earlier_run_first() {
+fn a_duplicate_start_stops_the_earlier_run() {
     let mut rig = AgentRig::in_control(cpu(4_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
@@ -411,7 +422,7 @@
 }
 
 #[test]
-fn a_planned_stop_waits_for_what_runs() {
+fn a_graceful_shutdown_waits_for_runs_and_acknowledgements() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -428,8 +439,7 @@
     assert!(rig.stopped);
 }
 
-/// Found by the emulator (seed 117): a worker whose last watch was lost while
-/// nothing ran was never used again.
+/// Guards against a worker that stays unused because its last watch was lost while nothing ran.
 #[test]
 fn a_lost_watch_is_repeated_even_when_nothing_runs() {
     let mut rig = AgentRig::in_control(cpu(1_000));
@@ -444,12 +454,11 @@
     assert!(rig.is_available());
 }
 
-/// A new agent need not wait for the worker's next heartbeat: it tries the
-/// life that the record names, with a token above that of the earlier agent. That
-/// the worker has the recorded room still is known once a gateway tells that an
-/// earlier agent was there a moment ago.
+/// A new agent must not have to wait for the worker's next heartbeat: it contacts the recorded
+/// incarnation with a higher token. The recorded capacity is valid once a gateway reports that
+/// an earlier agent was active a moment ago.
 #[test]
-fn a_recalled_worker_is_under_control_without_a_heartbeat() {
+fn a_recorded_worker_is_used_before_its_first_heartbeat() {
     let mut rig = AgentRig::new();
     rig.recall(at(5_000), "life-1", cpu(2_000));
     let fenced = rig.last_token();
@@ -457,7 +466,7 @@
     rig.tick(at(5_002));
     assert!(rig.last_token() > fenced);
     rig.answer_watch(at(5_003), WorkerLists::default());
-    assert!(!rig.is_available(), "its room may have shrunk");
+    assert!(!rig.is_available(), "its capacity may have shrunk");
     let silence = Span::from_millis(300);
     rig.message(at(5_003), ToAgentBody::Predecessor { silence });
     assert!(rig.is_available());
@@ -467,7 +476,7 @@
 }
 
 #[test]
-fn a_recalled_life_that_is_over_is_not_used() {
+fn a_recorded_incarnation_that_has_ended_is_not_used() {
     let mut rig = AgentRig::new();
     rig.recall(at(5_000), "life-1", cpu(2_000));
     let before = rig.last_token();
@@ -476,14 +485,11 @@
     rig.event(at(5_001), AgentEvent::Watched { life, answer });
     assert!(!rig.is_available());
     rig.register(at(5_500), "life-2", cpu(2_000), false);
-    assert!(
-        rig.last_token() > before,
-        "orders for before are fenced off"
-    );
+    assert!(rig.last_token() > before, "earlier commands are fenced off");
 }
 
 #[test]
-fn a_worker_thought_dead_that_registers_again_is_taken_over() {
+fn a_worker_wrongly_taken_for_ended_is_used_again() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
@@ -499,7 +505,11 @@
     );
     rig.register(at(1_000), "life-1", cpu(1_000), false);
     rig.answer_watch(at(1_001), lists(&[(id, 10)], &[]));
-    assert_eq!(rig.take_stops(), vec![id], "what it runs is stopped first");
+    assert_eq!(
+        rig.take_stops(),
+        vec![id],
+        "the orphaned run is stopped first"
+    );
     assert!(!rig.is_available());
     rig.answer_watch(at(1_100), WorkerLists::default());
     assert!(rig.is_available());
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -1,4 +1,4 @@
-//! A worker's room shrinks and grows while it runs.
+//! Changes of a worker's capacity while it runs tasks.
 
 mod leased_support;
 
@@ -11,8 +11,8 @@
 use leased_support::{AgentRig, GATEWAY, SESSION, at, cpu, lists, run, worker_clock};
 use rstest::rstest;
 
-/// An agent whose worker tells of itself every 1.5 s, and whose room may be used for 3 s more.
-fn with_heartbeats() -> LeasedAgent {
+/// An agent whose worker sends heartbeats every 1.5 s, with a grace period of 3 s.
+fn with_frequent_heartbeats() -> LeasedAgent {
     LeasedAgent::new(AgentOptions {
         token_floor: Default::default(),
         zone: "here".into(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes an event in, and the lists of a worker on which nothing runs.
+/// Handles an event, then an answer to a watch from a worker that runs nothing.
 fn take(machine: &mut LeasedAgent, millis: u64, event: AgentEvent) {
     let mut effects = Vec::new();
     machine.handle(at(millis), event, &mut effects);
@@ -52,10 +52,10 @@
     machine.handle(at(millis), watched, &mut effects);
 }
 
-/// Machines that were dark, stood still or were suspended may have missed that it shrank.
+/// An agent that was disconnected or suspended may have missed that the capacity shrank.
 #[test]
-fn room_of_which_nothing_was_heard_for_long_is_not_used() {
-    let mut machine = with_heartbeats();
+fn outdated_capacity_is_not_used() {
+    let mut machine = with_frequent_heartbeats();
     take(
         &mut machine,
         0,
@@ -71,16 +71,16 @@
     assert!(machine.is_available(at(6_000)));
 }
 
-/// What an earlier agent knew is good for a moment, if it was there a moment ago.
+/// A recorded capacity is valid only if an earlier agent was active a moment ago.
 #[rstest]
 #[case::restarted(Some(300), true)]
-#[case::long_dark(Some(2_500), false)]
-#[case::nobody_knows(None, false)]
-fn a_recalled_room_is_used_if_the_earlier_agent_was_there_lately(
+#[case::long_outage(Some(2_500), false)]
+#[case::not_reported(None, false)]
+fn recorded_capacity_is_used_if_an_earlier_agent_was_active_recently(
     #[case] silence: Option<u64>,
     #[case] is_available: bool,
 ) {
-    let mut machine = with_heartbeats();
+    let mut machine = with_frequent_heartbeats();
     let session = SESSION;
     take(
         &mut machine,
@@ -115,7 +115,7 @@
     assert!(machine.is_available(at(900)));
 }
 
-/// An agent whose worker of four cores runs two tasks of a core each.
+/// An agent whose worker with four cores runs two tasks of one core each.
 fn running() -> AgentRig {
     let mut rig = AgentRig::in_control(cpu(4_000));
     let batch = rig.batch(1, 2, 50);
@@ -135,10 +135,10 @@
 }
 
 #[test]
-fn nothing_starts_beyond_the_room_that_is_left() {
+fn nothing_starts_beyond_the_reduced_capacity() {
     let mut rig = running();
     rig.register(at(20), "life-1", cpu(2_500), false);
-    assert_eq!(rig.machine.run_count(), 2, "what runs goes on");
+    assert_eq!(rig.machine.run_count(), 2, "runs continue");
     let batch = rig.batch(2, 1, 0);
     rig.message(at(30), batch);
     assert!(rig.take_starts().is_empty());
@@ -148,9 +148,9 @@
     assert_eq!(rig.take_starts(), [run(3, 0)]);
 }
 
-/// What is being stopped takes its room until the worker lists its end.
+/// A run that is being stopped takes resources until the worker lists its end.
 #[test]
-fn what_is_being_stopped_counts_against_the_room_that_is_left() {
+fn a_run_that_is_being_stopped_counts_against_the_reduced_capacity() {
     let mut rig = running();
     rig.register(at(20), "life-1", cpu(2_000), false);
     let stop = ToAgentBody::Stop(vec![run(1, 0).task]);
@@ -167,19 +167,19 @@
 }
 
 #[test]
-fn gateways_hear_of_the_room_that_is_left() {
+fn reduced_capacity_is_reported_to_gateways() {
     let mut rig = running();
     rig.register(at(20), "life-1", cpu(2_500), false);
     rig.tick(at(40));
-    let snapshot = last_snapshot(&rig).expect("told anew");
+    let snapshot = last_snapshot(&rig).expect("a new snapshot");
     assert_eq!(snapshot.capacity, cpu(2_500));
     assert_eq!(snapshot.held.len(), 2);
     assert_eq!(rig.told_room(SESSION), Some(500));
 }
 
-/// A cut may hold a heartbeat back until later ones have come.
+/// A network partition may delay a heartbeat until later ones have arrived.
 #[test]
-fn a_late_heartbeat_does_not_give_back_room_that_has_gone() {
+fn a_delayed_heartbeat_does_not_restore_reduced_capacity() {
     let mut rig = running();
     rig.register(at(20), "life-1", cpu(2_000), false);
     rig.event(at(30), AgentEvent::Registered(registration(15, 4_000)));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_later_agent_knows_the_least_room_that_the_life_has_had() {
+fn the_record_has_the_smallest_capacity_of_the_incarnation() {
     let mut rig = running();
     for (millis, room) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
         rig.register(at(millis), "life-1", cpu(room), false);
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -1,5 +1,5 @@
-//! Orders for a life of a worker that is over, and the next life under its id: a process that
-//! knows nothing of before would carry them out, seconds late.
+//! Commands for an ended incarnation of a worker. A process restarted under the same id could
+//! carry them out seconds later.
 
 mod leased_support;
 
@@ -15,22 +15,25 @@
     task, word,
 };
 
-/// An order for the life before that is still under way must not be carried out by the next:
-/// the first order for that has a higher token.
+/// A command for the previous incarnation that is still in flight must not be carried out by the
+/// next one.
 #[test]
-fn orders_for_the_life_before_are_fenced_off() {
+fn commands_for_the_previous_incarnation_are_fenced_off() {
     let mut rig = running();
     let before = rig.last_token();
     rig.answer_watch_of(at(40), Some(Born(SECOND)), Ok(WorkerLists::default()));
-    let next = rig.orders.back().expect("the next life is asked at once");
+    let next = rig
+        .orders
+        .back()
+        .expect("the next incarnation is queried at once");
     assert_eq!(next.life, life(SECOND));
     assert!(Some(next.token.0) > before);
-    assert!(!rig.is_available(), "not before it has answered that");
+    assert!(!rig.is_available(), "not before it has answered the watch");
 }
 
-/// An earlier agent whose time of day was far ahead has left a high token behind.
+/// An earlier agent whose wall clock was far ahead has left a high token at the worker.
 #[test]
-fn a_token_that_is_far_too_low_is_soon_high_enough() {
+fn a_token_that_is_far_too_low_is_raised_quickly() {
     let mut rig = AgentRig::new();
     rig.life = life(FIRST);
     rig.heartbeat(at(0), word(FIRST, 9_000, 4_000, false));
@@ -43,8 +46,9 @@
     assert!(rejections <= 22, "{rejections}");
 }
 
-/// A start without an answer, as the worker's process ends: the next life may carry it out.
-fn unanswered() -> AgentRig {
+/// A start that is unanswered when the worker's process ends; the next incarnation may carry it
+/// out.
+fn with_unanswered_start() -> AgentRig {
     let mut rig = in_first_life();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
@@ -56,9 +60,9 @@
 }
 
 #[test]
-fn a_start_without_an_answer_is_not_repeated_before_the_next_life_was_told_to_leave_it() {
-    let mut rig = unanswered();
-    assert!(rig.ends().is_empty(), "it may yet be carried out");
+fn an_unanswered_start_ends_only_after_the_next_incarnation_has_stopped_it() {
+    let mut rig = with_unanswered_start();
+    assert!(rig.ends().is_empty(), "the start may still be carried out");
     rig.life = life(SECOND);
     rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
     rig.answer_watch(at(501), WorkerLists::default());
@@ -73,22 +77,22 @@
 }
 
 #[test]
-fn a_start_that_the_next_life_has_carried_out_is_stopped_there() {
-    let mut rig = unanswered();
+fn a_start_carried_out_by_the_next_incarnation_is_stopped() {
+    let mut rig = with_unanswered_start();
     rig.life = life(SECOND);
     rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
     rig.answer_watch(at(501), lists(&[(run(1, 0), 10)], &[]));
     rig.answer_stop(at(502), run(1, 0), true);
-    assert!(rig.ends().is_empty(), "it runs");
+    assert!(rig.ends().is_empty(), "the run has not ended");
     let stopped = [(1, run(1, 0), WorkerEndKind::Stopped)];
     rig.answer_watch(at(520), lists(&[], &stopped));
     assert_eq!(rig.ends().len(), 1);
 }
 
-/// A worker of another id rejects what was meant for this one.
+/// A worker with another id rejects commands for this one.
 #[test]
-fn a_start_without_an_answer_is_over_once_another_id_answers() {
-    let mut rig = unanswered();
+fn an_unanswered_start_is_lost_once_another_id_answers() {
+    let mut rig = with_unanswered_start();
     rig.register(at(500), "worker-2", cpu(4_000), false);
     assert!(rig.ends().is_empty());
     rig.life = "worker-2".into();
@@ -96,7 +100,7 @@
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
 }
 
-/// Its connection was refused after all: nothing was sent.
+/// The result of the start arrives late: its connection was refused, so nothing was sent.
 #[test]
 fn a_start_that_was_never_sent_is_lost_at_once() {
     let mut rig = in_first_life();
@@ -114,9 +118,9 @@
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
 }
 
-/// The lease that bounds a start is by the clock of the life for which it was meant.
+/// The lease of a start refers to the clock of the incarnation that the start was sent to.
 #[test]
-fn a_silent_worker_proves_nothing_of_a_start_without_an_answer() {
+fn an_unanswered_start_is_held_when_the_worker_is_silent() {
     let mut rig = running();
     let batch = rig.batch(2, 1, 50);
     rig.message(at(20), batch);
@@ -127,13 +131,18 @@
     }
     rig.tick(at(1_000));
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
-    assert_eq!(rig.ends(), lost, "these had begun, and have lapsed");
+    assert_eq!(
+        rig.ends(),
+        lost,
+        "confirmed runs end when the lease expires"
+    );
     assert_eq!(rig.machine.run_count(), 1);
 }
 
-/// A start meant for the life before reached the next, before anybody knew of that.
+/// A start for the previous incarnation reached the next one before the agent noticed the
+/// restart.
 #[test]
-fn a_run_that_the_next_life_began_with_an_old_lease_is_stopped() {
+fn a_run_started_by_the_next_incarnation_with_an_old_lease_is_stopped() {
     let mut rig = running();
     let shown = lists(&[(run(1, 0), 10)], &[]);
     rig.heartbeat(at(30), word(SECOND, 1, 4_000, false));
@@ -141,7 +150,7 @@
     assert_eq!(
         rig.ends(),
         [(task(1, 1), EndKind::Lost)],
-        "this one is over"
+        "the unlisted run is lost"
     );
     assert_eq!(rig.take_stops(), [run(1, 0)]);
     let over = rig.decisions.iter().find_map(|decision| match decision {
@@ -151,9 +160,9 @@
     assert_eq!(over, Some((LifeEnd::Reborn, 1)));
 }
 
-/// A start that was rejected by the life before was not carried out by anybody.
+/// A start that the previous incarnation rejected was not carried out.
 #[test]
-fn a_late_rejection_ends_a_held_start() {
+fn a_delayed_rejection_ends_a_held_start() {
     let mut rig = in_first_life();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
@@ -172,7 +181,7 @@
     assert_eq!(rig.ends(), [(task(1, 0), how)]);
 }
 
-/// The answer to an earlier run of a task says nothing of the next.
+/// An answer to an earlier run of a task must not confirm a later one.
 #[test]
 fn an_answer_to_an_earlier_run_confirms_no_later_one() {
     let mut rig = in_first_life();
@@ -193,5 +202,5 @@
     }
     rig.answer_start(at(21), run(1, 0), None);
     rig.refuse_watch(at(22));
-    assert_eq!(rig.ends().len(), 1, "the second run is held");
+    assert_eq!(rig.ends().len(), 1, "the second run is held without an end");
 }
--- a/laurelstile-core/tests/leased_late_words.rs
+++ b/laurelstile-core/tests/leased_late_words.rs
@@ -1,5 +1,6 @@
-//! Words that are not of the worker's present life: late ones of a life before, and those of
-//! other writers. They name no worker to use, and what is known of the present life holds.
+//! Heartbeats and deregistrations that are not from the worker's current incarnation: delayed
+//! ones of an earlier incarnation, and those of another sender that uses the same id. They must
+//! not change what is known of the current incarnation.
 
 mod leased_support;
 
@@ -14,9 +15,9 @@
 };
 use rstest::rstest;
 
-/// Its process has not ended after all: it is not ignored for good.
+/// The process did not exit after its deregistration; it must not be ignored forever.
 #[test]
-fn a_worker_that_is_heard_long_after_its_deregistration_is_taken_up_again() {
+fn a_worker_heard_long_after_its_deregistration_is_used_again() {
     let mut rig = in_first_life();
     rig.heartbeat(at(100), word(FIRST, 9_100, 4_000, true));
     rig.deregister(at(200));
@@ -29,8 +30,8 @@
 }
 
 #[rstest]
-#[case::of_before(word(FIRST, 9_500, 1_000, true), IgnoredHeartbeat::EndedLife)]
-#[case::without_birth(
+#[case::of_ended_incarnation(word(FIRST, 9_500, 1_000, true), IgnoredHeartbeat::EndedLife)]
+#[case::without_start_time(
     registration(at(600), "worker-1".into(), cpu(1_000), true),
     IgnoredHeartbeat::NoBirth
 )]
@@ -38,7 +39,7 @@
     Registration { service: "nowhere".into(), ..word(SECOND, 100, 1_000, true) },
     IgnoredHeartbeat::OtherService
 )]
-fn a_word_of_another_writer_or_of_before_changes_nothing(
+fn a_heartbeat_of_another_sender_or_an_ended_incarnation_is_ignored(
     #[case] word: Registration,
     #[case] reason: IgnoredHeartbeat,
 ) {
@@ -54,11 +55,12 @@
     assert_eq!(ignored, Some(reason));
 }
 
-/// The first word may have been another writer's: what the worker goes on to say holds.
+/// The first heartbeat may be from another sender; the service that the worker keeps reporting
+/// prevails.
 #[rstest]
-#[case::the_worker_alone(&[], "meadows")]
-#[case::beside_the_known_service(&[1_600, 3_100, 4_600], "parcels")]
-fn a_service_that_alone_is_named_for_long_is_the_workers(
+#[case::worker_only(&[], "meadows")]
+#[case::alternating_with_known_service(&[1_600, 3_100, 4_600], "parcels")]
+fn the_service_that_is_reported_consistently_prevails(
     #[case] known_at: &[u64],
     #[case] service: &str,
 ) {
@@ -89,28 +91,29 @@
     assert_eq!(snapshots.next_back(), Some(service));
 }
 
-/// A late heartbeat of a life of which this agent never heard: it started in between.
+/// The agent was started after that incarnation had ended, so it does not know it.
 #[test]
-fn a_late_heartbeat_of_a_life_unheard_of_leaves_the_present_one_alone() {
+fn a_delayed_heartbeat_of_an_unknown_incarnation_does_not_affect_the_current_one() {
     let mut rig = AgentRig::new();
     rig.life = life(SECOND);
     rig.heartbeat(at(0), word(SECOND, 1, 4_000, false));
     rig.answer_watch(at(1), WorkerLists::default());
     rig.heartbeat(at(50), word(FIRST, 9_000, 1_000, true));
-    assert!(!rig.is_available(), "the worker is asked");
+    assert!(!rig.is_available(), "the worker is queried first");
     for millis in [51, 52] {
         rig.answer_watch(at(millis), WorkerLists::default());
     }
     assert!(rig.is_available());
     rig.heartbeat(at(60), word(FIRST, 8_000, 1_000, true));
-    assert!(rig.is_available(), "it is known now");
+    assert!(rig.is_available(), "the incarnation is known to have ended");
 }
 
-/// Lists that do not tell a birth leave the later of the two to be there.
+/// If the run lists carry no start time, the incarnation with the later start time is taken to
+/// be current.
 #[rstest]
 #[case::later(SECOND, 2)]
 #[case::earlier(SECOND_BY_A_CLOCK_SET_BACK, 0)]
-fn lists_without_a_birth_do_not_hide_a_restart(#[case] born: u64, #[case] lost: usize) {
+fn run_lists_without_a_start_time_do_not_hide_a_restart(#[case] born: u64, #[case] lost: usize) {
     let mut rig = running();
     rig.answer_watch_of(
         at(20),
@@ -138,9 +141,10 @@
     assert_eq!(ends, usize::from(lost > 0));
 }
 
-/// A deregistration names the id alone. That of the life before may come late.
+/// A deregistration carries only the worker id, so it may be a delayed one of the previous
+/// incarnation.
 #[test]
-fn a_late_deregistration_ends_nothing() {
+fn a_delayed_deregistration_stops_no_runs() {
     let mut rig = returned();
     let batch = rig.batch(2, 1, 50);
     rig.message(at(600), batch);
@@ -149,7 +153,10 @@
     }
     let ends = rig.ends().len();
     rig.deregister(at(610));
-    assert!(!rig.is_available(), "until the worker tells whose it is");
+    assert!(
+        !rig.is_available(),
+        "not before a heartbeat tells which incarnation sent it"
+    );
     assert!(rig.take_stops().is_empty());
     rig.heartbeat(at(700), word(SECOND, 200, 4_000, false));
     assert!(rig.is_available());
@@ -157,30 +164,33 @@
     assert_eq!(rig.ends().len(), ends);
 }
 
-/// It is the present life's after all: an earlier agent knew that it drains.
+/// The deregistration turns out to be from the current incarnation.
 #[test]
-fn a_deregistration_is_believed_once_the_life_says_that_it_drains() {
+fn a_deregistration_is_confirmed_by_a_draining_heartbeat() {
     let mut rig = running();
     rig.deregister(at(100));
     rig.heartbeat(at(200), word(FIRST, 9_200, 4_000, true));
     assert_eq!(rig.take_stops(), [run(1, 0), run(1, 1)]);
 }
 
-/// Nobody says whose it is: it is answered in time, and nothing starts.
+/// No heartbeat shows which incarnation it came from.
 #[test]
-fn a_deregistration_that_nobody_explains_is_answered() {
+fn an_unconfirmed_deregistration_is_answered() {
     let mut rig = running();
     rig.deregister(at(100));
     rig.tick(at(900));
     assert_eq!(rig.deregistrations, ["worker-1"]);
     assert!(!rig.is_available());
     rig.refuse_watch(at(950));
-    assert!(rig.ends().is_empty(), "its door may close before it ends");
+    assert!(
+        rig.ends().is_empty(),
+        "it may stop listening before it exits"
+    );
 }
 
-/// One of them may be that run.
+/// An unreadable entry may be the run that appears to be missing.
 #[test]
-fn a_run_is_not_over_because_a_list_with_unreadable_entries_lacks_it() {
+fn a_run_missing_from_a_list_with_unreadable_entries_is_not_lost() {
     let mut rig = running();
     let mut shown = lists(&[(run(1, 0), 10)], &[]);
     shown.unreadable = 1;
@@ -193,9 +203,9 @@
     assert_eq!(rig.ends(), [(task(1, 1), EndKind::Lost)]);
 }
 
-/// Another writer was heard first, and told no birth.
+/// Another sender, which reports no start time, was heard first.
 #[test]
-fn a_life_that_tells_its_birth_follows_one_that_does_not() {
+fn an_incarnation_with_a_start_time_replaces_one_without() {
     let mut rig = AgentRig::new();
     rig.life = "worker-1".into();
     rig.register(at(0), "worker-1", cpu(1_000), true);
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -1,5 +1,5 @@
-//! Lives of a worker: a heartbeat that a cut held back may come after its life has ended
-//! and another has begun.
+//! Incarnations of a worker: a delayed heartbeat may arrive after its incarnation has ended and
+//! another one has started.
 
 mod leased_support;
 
@@ -11,7 +11,7 @@
     AgentRig, RARE_HEARTBEATS, TOKEN_FLOOR, at, cpu, lists, run, task, worker_clock,
 };
 
-/// An agent whose worker lives its `life-1` and runs a task.
+/// An agent whose worker runs one task in incarnation `life-1`.
 fn running() -> AgentRig {
     let mut rig = AgentRig::in_control(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
@@ -21,12 +21,15 @@
     rig
 }
 
-/// An agent that was restarted does not know which lives came before.
+/// A restarted agent does not know the earlier incarnations.
 #[test]
-fn a_late_heartbeat_of_an_ended_life_leaves_what_runs_alone() {
+fn a_delayed_heartbeat_of_an_ended_incarnation_does_not_affect_runs() {
     let mut rig = running();
     rig.register(at(20), "life-0", cpu(4_000), false);
-    assert!(rig.ends().is_empty(), "the present life may be well");
+    assert!(
+        rig.ends().is_empty(),
+        "the current incarnation may still run"
+    );
     for millis in [30, 40] {
         rig.answer_watch(at(millis), lists(&[(run(1, 0), 20)], &[]));
     }
@@ -35,21 +38,25 @@
     assert!(rig.ends().is_empty());
     let batch = rig.batch(2, 1, 50);
     rig.message(at(50), batch);
-    assert_eq!(rig.take_starts(), [run(2, 0)], "the present life goes on");
+    assert_eq!(
+        rig.take_starts(),
+        [run(2, 0)],
+        "the current incarnation continues"
+    );
 }
 
 #[test]
-fn a_new_life_begins_once_the_worker_says_that_the_old_one_is_over() {
+fn a_new_incarnation_starts_once_the_worker_reports_the_end_of_the_old_one() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
     rig.end_life(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
-    let order = rig.orders.back().expect("the new life is watched");
+    let order = rig.orders.back().expect("a watch of the new incarnation");
     assert_eq!(order.life, "life-2".into());
 }
 
 #[test]
-fn a_new_life_that_drains_before_it_begins_drains() {
+fn a_new_incarnation_that_drains_before_it_starts_stays_draining() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), true);
     rig.register(at(20), "life-2", cpu(8_000), false);
@@ -58,15 +65,15 @@
     assert!(!rig.is_available());
 }
 
-/// A worker may hang for good in its old life's calls: its runs have lapsed then.
+/// The worker may hang forever in calls of its old incarnation, whose leases expire then.
 #[test]
-fn a_silent_life_gives_way_once_its_runs_have_lapsed() {
+fn a_silent_incarnation_is_replaced_once_its_leases_have_expired() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
     for millis in [50, 100, 200] {
         rig.lose_watch(at(millis));
     }
-    assert!(rig.ends().is_empty(), "the leases run on");
+    assert!(rig.ends().is_empty(), "the leases have not expired yet");
     rig.tick(at(1_200));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
     rig.orders.clear();
@@ -76,9 +83,9 @@
     assert!(lives.iter().all(|life| *life == "life-2"), "{lives:?}");
 }
 
-/// Only lives that begin are remembered for a later agent, each once.
+/// A record is stored once for each incarnation that starts, and for no other.
 #[test]
-fn a_late_heartbeat_does_not_replace_what_a_later_agent_will_recall() {
+fn a_delayed_heartbeat_does_not_replace_the_stored_record() {
     let options = AgentOptions {
         zone: "here".into(),
         stop_patience: Span::from_secs(5),
--- a/laurelstile-core/tests/leased_release.rs
+++ b/laurelstile-core/tests/leased_release.rs
@@ -1,4 +1,4 @@
-//! An agent lets a session go whose gateway it has no need of.
+//! An agent releases a session to a gateway that it does not need.
 
 mod leased_support;
 
@@ -9,7 +9,7 @@
 use laurelstile_types::id::Incarnation;
 use leased_support::{AgentRig, SESSION, at, cpu, lists, run};
 
-/// Session of the gateway that is let go.
+/// Session of the released gateway.
 const OTHER: SessionId = SessionId(80);
 
 fn rig_with_released_gateway() -> AgentRig {
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn a_released_gateway_is_told_that_there_is_no_room() {
+fn a_released_gateway_is_reported_no_free_resources() {
     let mut rig = rig_with_released_gateway();
     assert_eq!(rig.told_room(OTHER), Some(0));
     assert_eq!(rig.told_room(SESSION), Some(1_000));
     assert!(rig.machine.is_idle_for(OTHER));
     rig.machine.release(OTHER, false);
     rig.tick(at(200));
-    // More room is told a moment later to those whose tasks have not made it.
+    // A gateway whose tasks did not free the resources learns of them with a delay.
     let wakeup = rig.machine.next_wakeup(at(200)).expect("a report is due");
     rig.tick(wakeup);
-    assert_eq!(rig.told_room(OTHER), Some(1_000), "it is wanted again");
+    assert_eq!(rig.told_room(OTHER), Some(1_000), "the release was undone");
 }
 
-/// It may have been sent before the gateway heard.
+/// The start may have been sent before the gateway learned of the release.
 #[test]
-fn what_a_released_gateway_has_sent_still_runs() {
+fn a_start_from_a_released_gateway_is_carried_out() {
     let mut rig = rig_with_released_gateway();
     let batch = rig.batch(3, 1, 0);
     rig.message_from(at(101), OTHER, batch);
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -1,18 +1,8 @@
-//! A worker that starts again under the id that it had.
+//! Restarts of a worker under the same id.
 //!
-//! Seen: two tasks were started on a worker 2.2 s after its agent had acknowledged that it
-//! leaves; and on a day on which all workers had come back once, none of them was given a task
-//! later than 4 s after its return.
-//!
-//! How it came about: the worker's process ended and its agent saw that. It started again some
-//! seconds later under its id, was used, and said that it leaves.
-//!
-//! Cause: the agent took the id for the life. It kept the id among the lives that had ended, and
-//! held whatever came under it for a late heartbeat of the dead: answered, and not heeded.
-//!
-//! Proof: the agent's log of that day has the return of the worker and the answer to its word, and
-//! no line that it drains. The tests below bring it about; each failed while an id was all that
-//! told one start of a worker from another.
+//! The tests guard against mistaking a restarted worker for its ended incarnation: its
+//! heartbeats would be ignored as delayed, so tasks would start on it after it has announced its
+//! shutdown, or it would get no tasks at all.
 
 mod leased_support;
 
@@ -28,11 +18,11 @@
 };
 use rstest::rstest;
 
-/// Workers that do not tell their births, too.
+/// Also for workers that report no start time.
 #[rstest]
-#[case::birth_told(Some(FIRST), Some(SECOND))]
-#[case::birth_not_told(None, None)]
-fn a_worker_that_came_back_and_leaves_is_given_nothing(
+#[case::with_start_time(Some(FIRST), Some(SECOND))]
+#[case::without_start_time(None, None)]
+fn a_restarted_worker_that_drains_gets_no_tasks(
     #[case] first: Option<u64>,
     #[case] second: Option<u64>,
 ) {
@@ -58,22 +48,26 @@
     rig.message(at(3_200), batch);
     assert!(
         rig.take_starts().is_empty(),
-        "started 2.2 s after the answer"
+        "a task was started on a draining worker"
     );
 }
 
 #[test]
-fn room_that_shrinks_after_the_return_is_heeded() {
+fn reduced_capacity_after_a_restart_is_applied() {
     let mut rig = returned();
     rig.heartbeat(at(1_000), word(SECOND, 500, 1_000, false));
     let batch = rig.batch(2, 3, 0);
     rig.message(at(1_010), batch);
-    assert_eq!(rig.take_starts().len(), 1, "there is room for one");
+    assert_eq!(
+        rig.take_starts().len(),
+        1,
+        "the reduced capacity fits one task"
+    );
 }
 
-/// What is heard of the worker goes on to count: nothing ages.
+/// The heartbeats of a restarted worker keep its capacity valid.
 #[test]
-fn heartbeats_after_the_return_are_not_set_aside() {
+fn heartbeats_after_a_restart_are_not_ignored() {
     let mut rig = returned();
     for second in 1..20 {
         rig.heartbeat(
@@ -86,9 +80,9 @@
     assert!(!rig.decisions.iter().any(ignored));
 }
 
-/// It left in a planned way, and came back.
+/// A graceful shutdown followed by a restart.
 #[test]
-fn a_worker_that_left_is_taken_up_again() {
+fn a_worker_that_deregistered_and_restarted_is_used_again() {
     let mut rig = in_first_life();
     rig.heartbeat(at(1_000), word(FIRST, 10_000, 4_000, true));
     rig.deregister(at(3_100));
@@ -101,25 +95,29 @@
     assert!(rig.is_available());
 }
 
-/// Nobody saw it end: the lists of a process that was born at another time prove it.
+/// The end was not observed; run lists with another start time are evidence of it.
 #[rstest]
 #[case::later(SECOND)]
-#[case::by_a_clock_set_back(SECOND_BY_A_CLOCK_SET_BACK)]
-fn what_ran_before_an_unseen_restart_is_over(#[case] born: u64) {
+#[case::clock_set_back(SECOND_BY_A_CLOCK_SET_BACK)]
+fn runs_before_an_unnoticed_restart_are_lost(#[case] born: u64) {
     let mut rig = running();
     rig.heartbeat(at(30), word(born, 1, 4_000, false));
-    assert!(!rig.is_available(), "one of the two lives is not there");
+    assert!(
+        !rig.is_available(),
+        "it is not known which incarnation is current"
+    );
     answers_reborn(&mut rig, at(31), born, WorkerLists::default());
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
     assert_eq!(rig.ends(), lost);
     assert!(rig.is_available());
     rig.heartbeat(at(1_000), word(born, 970, 4_000, true));
-    assert!(!rig.is_available(), "its next word is heeded");
+    assert!(!rig.is_available(), "the draining heartbeat is applied");
 }
 
-/// The lists may come before the first heartbeat: what the worker is like is not known then.
+/// If the run lists arrive before the first heartbeat, the worker's capacity and service are not
+/// known yet.
 #[test]
-fn a_restart_that_only_the_lists_tell_of_waits_for_the_first_heartbeat() {
+fn a_restart_known_from_run_lists_only_waits_for_the_first_heartbeat() {
     let mut rig = running();
     answers_reborn(&mut rig, at(40), SECOND, WorkerLists::default());
     assert_eq!(rig.ends().len(), 2);
@@ -129,17 +127,21 @@
     rig.heartbeat(at(50), Registration { service, ..other });
     assert!(
         !rig.is_available(),
-        "another writer's word is not the first"
+        "a heartbeat of another service is ignored"
     );
     rig.heartbeat(at(60), word(SECOND, 30, 1_000, false));
     assert!(rig.is_available());
     let batch = rig.batch(2, 3, 0);
     rig.message(at(70), batch);
-    assert_eq!(rig.take_starts().len(), 1, "it has come back smaller");
+    assert_eq!(
+        rig.take_starts().len(),
+        1,
+        "the restarted worker has less capacity"
+    );
 }
 
 #[test]
-fn leases_of_the_next_life_are_counted_by_its_own_clock() {
+fn leases_of_the_next_incarnation_use_its_own_clock() {
     let mut rig = running();
     rig.heartbeat(at(30), word(SECOND, 1, 4_000, false));
     for (asked, clock) in [(FIRST, 2), (SECOND, 3)] {
@@ -158,22 +160,23 @@
     assert!(latest <= WorkerClock(1_100), "{latest:?}");
 }
 
-/// The numbers of its ends begin anew, so those of before would have it forget ends unread.
+/// Entry numbers restart with each incarnation, so acknowledging an old number would discard new
+/// entries that the agent has not read.
 #[test]
-fn ends_are_acknowledged_to_the_life_that_told_them() {
+fn ended_runs_are_acknowledged_to_the_incarnation_that_reported_them() {
     let mut rig = running();
     let done = [(7, run(1, 0), WorkerEndKind::Done)];
     rig.answer_watch(at(40), lists(&[(run(1, 1), 50)], &done));
     assert_eq!(rig.take_watches()[0].0, 7);
     rig.answer_watch(at(41), lists(&[(run(1, 1), 50)], &[]));
-    assert_eq!(rig.take_watches()[0].0, 0, "said once");
+    assert_eq!(rig.take_watches()[0].0, 0, "acknowledged only once");
     rig.answer_watch_of(at(70), Some(Born(SECOND)), Ok(WorkerLists::default()));
     assert_eq!(rig.take_watches()[0].0, 0);
 }
 
-/// A worker does nothing for an order that it fences off, whatever else that says.
+/// A worker ignores all contents of a command that it rejects as fenced.
 #[test]
-fn ends_in_a_watch_that_was_fenced_off_are_acknowledged_again() {
+fn ended_runs_in_a_fenced_watch_are_acknowledged_again() {
     let mut rig = running();
     let done = [(7, run(1, 0), WorkerEndKind::Done)];
     rig.answer_watch(at(40), lists(&[(run(1, 1), 50)], &done));
@@ -181,9 +184,9 @@
     assert_eq!(rig.take_watches()[0].0, 7);
 }
 
-/// Two crashes under one id are two.
+/// Two crashes under the same id are distinct.
 #[test]
-fn each_crash_counts() {
+fn each_crash_under_one_id_is_reported() {
     let mut rig = running();
     rig.refuse_watch(at(20));
     rig.life = life(SECOND);
@@ -207,20 +210,21 @@
     assert_eq!(lives, names);
 }
 
-/// An agent that starts recalls the life before; the worker tells that it is another.
+/// A new agent reads a record of the previous incarnation, and the worker reports that it has
+/// restarted.
 #[test]
-fn a_recalled_life_that_has_been_followed_by_another_is_not_used() {
+fn a_recorded_incarnation_that_has_been_replaced_is_not_used() {
     let mut rig = AgentRig::new();
     rig.life = life(FIRST);
     rig.event(at(0), AgentEvent::Recalled(word(FIRST, 9_000, 4_000, true)));
     answers_reborn(&mut rig, at(1), SECOND, WorkerLists::default());
     rig.heartbeat(at(10), word(SECOND, 5, 4_000, false));
-    assert!(rig.is_available(), "it does not drain in this life");
+    assert!(rig.is_available(), "this incarnation is not draining");
 }
 
-/// What a later agent must know is of the present life.
+/// The record for the next agent must be of the current incarnation.
 #[test]
-fn what_is_left_for_a_later_agent_names_the_life() {
+fn the_record_names_the_current_incarnation() {
     let mut rig = returned();
     rig.heartbeat(at(700), word(SECOND, 200, 4_000, true));
     let last = rig.remembered.last().expect("a record");
@@ -228,9 +232,9 @@
     assert!(last.registration.draining && last.is_vital);
 }
 
-/// An agent that stood still may have missed the restart of its worker.
+/// A suspended agent may have missed a restart of its worker.
 #[test]
-fn a_worker_is_asked_before_it_is_used_after_a_standstill() {
+fn a_worker_is_queried_before_it_is_used_after_a_suspension() {
     let mut rig = in_first_life();
     rig.tick(at(400));
     let batch = rig.batch(1, 1, 0);
--- a/laurelstile-core/tests/leased_silence.rs
+++ b/laurelstile-core/tests/leased_silence.rs
@@ -1,4 +1,4 @@
-//! Sessions over which nothing comes any more, although the agent sends.
+//! Sessions on which nothing arrives although the agent sends.
 
 mod leased_support;
 
@@ -6,7 +6,7 @@
 use laurelstile_types::time::Timestamp;
 use leased_support::{AgentRig, SESSION, at, cpu};
 
-/// Wakes the agent as it asks for, from one time to another.
+/// Ticks the agent at the times that it requests, from `from` to `to`.
 fn run(rig: &mut AgentRig, from: Timestamp, to: Timestamp) {
     let mut now = from;
     while now < to {
@@ -48,9 +48,9 @@
     assert!(rig.closed.is_empty());
 }
 
-/// What came meanwhile has not been read yet.
+/// Messages that arrived during the suspension have not been read yet.
 #[test]
-fn an_agent_that_stood_still_listens_first() {
+fn a_suspended_agent_reads_pending_messages_first() {
     let mut rig = AgentRig::in_control(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
