--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -45,8 +45,8 @@
     /// The crashes numbered above `number` that are still kept.
     pub fn after(&self, number: u64) -> Vec<WorkerCrash> {
         let newer = usize::try_from(self.last.saturating_sub(number)).unwrap_or(usize::MAX);
-        let known = self.crashes.len().saturating_sub(newer);
-        self.crashes.range(known..).cloned().collect()
+        let skipped = self.crashes.len().saturating_sub(newer);
+        self.crashes.range(skipped..).cloned().collect()
     }
 }
 
@@ -67,7 +67,7 @@
     /// shutdown by draining or deregistering.
     pub(super) fn record_crash(
         &mut self,
-        life: &LifeName,
+        incarnation: &LifeName,
         was_draining: bool,
         end: LifeEnd,
         tasks: Vec<CrashedTask>,
@@ -75,7 +75,7 @@
         let has_crashed = end != LifeEnd::Deregistered && !was_draining;
         if has_crashed && !tasks.is_empty() {
             self.crash_history.add(WorkerCrash {
-                life: life.to_string(),
+                life: incarnation.to_string(),
                 runs: u32::try_from(tasks.len()).unwrap_or(u32::MAX),
                 tasks,
             });
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -150,8 +150,8 @@
         }
         deregistration.answer(&worker.incarnation.id, effects);
         if is_over {
-            let name = worker.incarnation.clone();
-            self.on_incarnation_ended(now, &name, LifeEnd::Deregistered, effects);
+            let incarnation = worker.incarnation.clone();
+            self.on_incarnation_ended(now, &incarnation, LifeEnd::Deregistered, effects);
         }
     }
 
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -26,8 +26,8 @@
 const PACE_SAMPLE_WEIGHT: f64 = 0.08;
 /// Ratio of actual to estimated run time above which a worker counts as slow.
 const SLOW_PACE_THRESHOLD: f64 = 2.0;
-/// Time without a sample after which the excess of a slow worker's pace over 1 is halved, so
-/// that the worker gets tasks again.
+/// Each such period without a sample halves the excess of a slow worker's pace over 1, so that
+/// the worker gets tasks again.
 const PACE_HALF_LIFE: Span = Span::from_millis(1_000);
 /// Range to which a pace sample is clamped.
 const PACE_BOUNDS: (f64, f64) = (0.2, 20.0);
@@ -118,7 +118,7 @@
     pub fn has_normal_pace_since(&self, now: Timestamp, job: JobId, sent: Timestamp) -> bool {
         self.normal_runs
             .iter()
-            .any(|end| end.job != job && end.sent >= sent && now.since(end.ended) <= NORMAL_RUN_TTL)
+            .any(|run| run.job != job && run.sent >= sent && now.since(run.ended) <= NORMAL_RUN_TTL)
     }
 
     pub fn on_failed(&mut self, now: Timestamp) {
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -34,7 +34,7 @@
     fn renewable_until(&self) -> Timestamp {
         let runs = self.runs.iter().map(|(_, run)| run);
         let ends = runs
-            .filter(|run| run.takes_room())
+            .filter(|run| run.takes_resources())
             .map(|run| self.answered_for_until(run));
         ends.min().unwrap_or(Timestamp(u64::MAX))
     }
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -51,7 +51,7 @@
     /// Its stop was sent; its end is not confirmed yet.
     Stopping {
         reason: StopReason,
-        /// When the first stop was sent.
+        /// When the stop began, or when it was restarted for another incarnation.
         since: Timestamp,
         /// When the stop was answered.
         answered: Option<Timestamp>,
@@ -69,7 +69,7 @@
     /// Estimated run time.
     pub estimate: Span,
     pub input: JobInput,
-    /// How long it may wait for free resources.
+    /// Until when it may wait for free resources.
     pub wait_until: Timestamp,
     /// When its start was sent.
     pub sent: Timestamp,
@@ -105,10 +105,10 @@
 
     /// Whether its start was sent but not confirmed, so that the worker may still carry it out.
     pub fn is_unconfirmed(&self) -> bool {
-        self.takes_room() && !self.is_confirmed
+        self.takes_resources() && !self.is_confirmed
     }
 
-    pub fn takes_room(&self) -> bool {
+    pub fn takes_resources(&self) -> bool {
         self.state != RunState::Waiting
     }
 
@@ -126,9 +126,9 @@
 pub struct RunTable {
     runs: BTreeMap<TaskId, Run>,
     taken: Room,
-    waiting_room: Room,
+    waiting_resources: Room,
     waiting: usize,
-    alone: usize,
+    exclusive: usize,
 }
 
 impl RunTable {
@@ -205,7 +205,7 @@
 
     /// Whether there is an exclusive run.
     pub fn has_exclusive(&self) -> bool {
-        self.alone > 0
+        self.exclusive > 0
     }
 
     pub fn len(&self) -> usize {
@@ -222,8 +222,8 @@
     }
 
     /// Resources that waiting runs will take.
-    pub fn waiting_room(&self) -> Room {
-        self.waiting_room
+    pub fn waiting_resources(&self) -> Room {
+        self.waiting_resources
     }
 
     /// Number of waiting runs.
@@ -237,13 +237,13 @@
     }
 
     fn count(&mut self, run: &Run, is_added: bool) {
-        let alone = usize::from(run.is_alone);
-        self.alone = if is_added {
-            self.alone + alone
+        let exclusive = usize::from(run.is_alone);
+        self.exclusive = if is_added {
+            self.exclusive + exclusive
         } else {
-            self.alone - alone
+            self.exclusive - exclusive
         };
-        let sum = if run.takes_room() {
+        let sum = if run.takes_resources() {
             &mut self.taken
         } else {
             self.waiting = if is_added {
@@ -251,7 +251,7 @@
             } else {
                 self.waiting - 1
             };
-            &mut self.waiting_room
+            &mut self.waiting_resources
         };
         *sum = if is_added {
             sum.plus(run.room)
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -69,9 +69,9 @@
     pub orphans: BTreeMap<RunId, Timestamp>,
     /// Whether a watch is wanted, to acknowledge ended runs or to check that the worker is
     /// alive.
-    pub has_pending_watch: bool,
-    /// Started tasks whose lease expired while the worker was silent. It has either crashed or
-    /// is unreachable.
+    pub wants_watch: bool,
+    /// Started tasks whose lease expired while the worker was silent. The worker has either
+    /// crashed or is unreachable.
     pub expired_tasks: Vec<CrashedTask>,
     /// Another incarnation that has registered since.
     pub successor: Option<SuccessorCandidate>,
@@ -165,7 +165,7 @@
             watch_from: now,
             renewed: now,
             orphans: BTreeMap::new(),
-            has_pending_watch: false,
+            wants_watch: false,
             expired_tasks: Vec::new(),
             successor: None,
             deregistration: None,
@@ -189,10 +189,10 @@
         }
     }
 
-    pub(super) fn is_current(&self, name: &LifeName) -> bool {
+    pub(super) fn is_current(&self, incarnation: &LifeName) -> bool {
         self.worker
             .as_ref()
-            .is_some_and(|worker| worker.incarnation == *name)
+            .is_some_and(|worker| worker.incarnation == *incarnation)
     }
 
     /// Total capacity of the worker; zero if no incarnation is known.
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/life_end.rs
@@ -22,11 +22,14 @@
     pub(super) fn on_incarnation_ended(
         &mut self,
         now: Timestamp,
-        name: &LifeName,
+        incarnation: &LifeName,
         end: LifeEnd,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(mut ended) = self.worker.take_if(|worker| worker.incarnation == *name) else {
+        let Some(mut ended) = self
+            .worker
+            .take_if(|worker| worker.incarnation == *incarnation)
+        else {
             return;
         };
         self.record_incarnation_end(now, &mut ended, end, &BTreeSet::new(), effects);
@@ -35,7 +38,7 @@
             LifeEnd::Deregistered | LifeEnd::Replaced => EndProof::LeaseOver,
         };
         // A worker with another id rejects commands for this one.
-        let may_return = name.may_return() && end != LifeEnd::Superseded;
+        let may_return = incarnation.may_return() && end != LifeEnd::Superseded;
         for task in self.runs.tasks_where(|_| true) {
             let is_unconfirmed = self.runs.get(task).is_some_and(Run::is_unconfirmed);
             if may_return && is_unconfirmed {
@@ -46,7 +49,7 @@
         }
         let next = ended.successor.map(|successor| successor.registration);
         let next = next.filter(|next| {
-            let is_gone = end == LifeEnd::Superseded && next.life.id == name.id;
+            let is_gone = end == LifeEnd::Superseded && next.life.id == incarnation.id;
             !is_gone && !self.past_incarnations.is_leaving(now, &next.life)
         });
         if let Some(registration) = next {
@@ -69,13 +72,13 @@
         };
         self.record_incarnation_end(now, &mut ended, LifeEnd::Reborn, listed, effects);
         self.held_worker_id = Some(Arc::clone(&ended.incarnation.id));
-        let name = ended.incarnation.reborn(born);
+        let incarnation = ended.incarnation.reborn(born);
         let registered = ended.successor.map(|successor| successor.registration);
-        match registered.filter(|registration| registration.life == name) {
+        match registered.filter(|registration| registration.life == incarnation) {
             Some(registration) => self.start_registered_incarnation(now, registration, effects),
             None => {
                 let registration = Registration {
-                    life: name,
+                    life: incarnation,
                     service: ended.service,
                     capacity: ended.capacity,
                     labels: ended.labels,
@@ -105,7 +108,7 @@
         let lost: Vec<(TaskId, &Run)> = self
             .runs
             .iter()
-            .filter(|(task, run)| run.takes_room() && !listed.contains(&run.id(*task)))
+            .filter(|(task, run)| run.takes_resources() && !listed.contains(&run.id(*task)))
             .collect();
         let runs = lost.iter().map(|(task, run)| LostRun {
             run: run.id(*task),
@@ -116,10 +119,10 @@
             task: *task,
             is_early: is_early(run, now.since(run.sent)),
         });
-        let begun = crashed
+        let started_tasks = crashed
             .chain(std::mem::take(&mut worker.expired_tasks))
             .collect();
-        self.record_crash(&worker.incarnation, worker.draining, end, begun);
+        self.record_crash(&worker.incarnation, worker.draining, end, started_tasks);
         effects.push(AgentEffect::Decided(AgentDecision::LifeOver {
             life: worker.incarnation.clone(),
             end,
@@ -193,7 +196,7 @@
             return;
         }
         self.held_worker_id = None;
-        let is_held = |run: &Run| run.takes_room() && run.incarnation != number;
+        let is_held = |run: &Run| run.takes_resources() && run.incarnation != number;
         for task in self.runs.tasks_where(is_held) {
             self.end_run(now, task, EndKind::Lost, EndProof::LifeOver, effects);
         }
@@ -207,7 +210,7 @@
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.runs.run(id).filter(|run| run.takes_room()) else {
+        let Some(run) = self.runs.run(id).filter(|run| run.takes_resources()) else {
             return;
         };
         let is_starting = run.state == RunState::Starting;
--- a/laurelstile-core/src/leased/agent/lives.rs
+++ b/laurelstile-core/src/leased/agent/lives.rs
@@ -41,20 +41,20 @@
         now: Timestamp,
         registration: &Registration,
     ) -> Option<IgnoredHeartbeat> {
-        let name = &registration.life;
-        if self.past_incarnations.is_leaving(now, name) {
+        let incarnation = &registration.life;
+        if self.past_incarnations.is_leaving(now, incarnation) {
             return Some(IgnoredHeartbeat::DeregisteredLife);
         }
         let worker = self.worker.as_ref()?;
-        if worker.incarnation == *name {
+        if worker.incarnation == *incarnation {
             let is_other = worker.service != registration.service;
             let is_held = now.since(worker.service_confirmed_at) <= self.service_retention();
             return (is_other && is_held).then_some(IgnoredHeartbeat::OtherService);
         }
-        if worker.incarnation.id == name.id && name.born.is_none() {
+        if worker.incarnation.id == incarnation.id && incarnation.born.is_none() {
             return Some(IgnoredHeartbeat::NoBirth);
         }
-        let has_ended = self.past_incarnations.contains(name);
+        let has_ended = self.past_incarnations.contains(incarnation);
         has_ended.then_some(IgnoredHeartbeat::EndedLife)
     }
 
@@ -160,8 +160,8 @@
         worker.watch_from = now;
     }
 
-    /// Discards a successor that registered before `queried_at`: the current incarnation has answered
-    /// a watch sent at that time, so the other one has ended.
+    /// Discards a successor that registered before `queried_at`: the current incarnation has
+    /// answered a watch sent at that time, so the other one has ended.
     pub(super) fn dismiss_successor(
         &mut self,
         queried_at: Timestamp,
@@ -188,12 +188,12 @@
         now: Timestamp,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let challenged = self
+        let replaced = self
             .worker
             .as_ref()
             .filter(|worker| worker.successor.is_some());
-        if let Some(name) = challenged.map(|worker| worker.incarnation.clone()) {
-            self.on_incarnation_ended(now, &name, LifeEnd::Replaced, effects);
+        if let Some(incarnation) = replaced.map(|worker| worker.incarnation.clone()) {
+            self.on_incarnation_ended(now, &incarnation, LifeEnd::Replaced, effects);
         }
     }
 
@@ -229,10 +229,10 @@
         successor.is_some_and(|successor| successor.registration.life.id == self.incarnation.id)
     }
 
-    /// The start time of the process that answered a watch sent at `queried_at`, if it is a different
-    /// incarnation under the same id. If this incarnation has no start time, a heartbeat must
-    /// have carried the answered one. If the answer carries none, the incarnation with the later
-    /// start time is taken to be current.
+    /// The start time of the process that answered a watch sent at `queried_at`, if it is a
+    /// different incarnation under the same id. If this incarnation has no start time, a
+    /// heartbeat must have carried the answered one. If the answer carries none, the incarnation
+    /// with the later start time is taken to be current.
     pub(super) fn detected_restart(
         &self,
         queried_at: Timestamp,
@@ -242,12 +242,12 @@
             return answered;
         }
         let successor = self.successor.as_ref()?;
-        let claimed = successor.registration.life.born;
-        let is_there = match answered {
-            Some(_) => claimed == answered && claimed != self.incarnation.born,
-            None => successor.since < queried_at && claimed > self.incarnation.born,
+        let registered_start = successor.registration.life.born;
+        let has_restarted = match answered {
+            Some(_) => registered_start == answered && registered_start != self.incarnation.born,
+            None => successor.since < queried_at && registered_start > self.incarnation.born,
         };
-        claimed.filter(|_| is_there && self.has_possible_restart())
+        registered_start.filter(|_| has_restarted && self.has_possible_restart())
     }
 }
 
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -158,7 +158,7 @@
         self.finish_deregistration(now, effects);
         self.start_waiting(now, effects);
         self.return_waiting(now, effects);
-        self.offer_room(now, effects);
+        self.offer_resources(now, effects);
         self.retry_stops(now, effects);
         self.watch(now, effects);
         self.finish_stop(now, effects);
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -31,15 +31,15 @@
     }
 
     /// Resources reserved for gateways.
-    pub(super) fn offered_room(&self) -> Room {
+    pub(super) fn offered_resources(&self) -> Room {
         self.owners
             .values()
-            .map(Owner::offered_room)
+            .map(Owner::offered_resources)
             .fold(Room::default(), Room::plus)
     }
 
     /// Offers free resources to the gateways with waiting tasks, best rank first.
-    pub(super) fn offer_room(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+    pub(super) fn offer_resources(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         for owner in self.owners.values_mut() {
             if owner.expire_offers(now) {
                 effects.push(AgentEffect::Decided(AgentDecision::OfferExpired));
@@ -49,7 +49,7 @@
             return;
         }
         while let Some((gateway, step, announced)) = self.best_ranked_step(now) {
-            let tasks = announced.room.times_in(self.free_room());
+            let tasks = announced.room.times_in(self.free_resources());
             let tasks = tasks.min(announced.count);
             let Some(owner) = self.owners.get_mut(&gateway) else {
                 return;
@@ -65,7 +65,7 @@
 
     /// The best-ranked announced step whose tasks fit into the free resources.
     fn best_ranked_step(&self, now: Timestamp) -> Option<(Incarnation, StepKey, AnnouncedStep)> {
-        let free = self.free_room();
+        let free = self.free_resources();
         self.owners
             .iter()
             .filter(|(_, owner)| {
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -156,7 +156,7 @@
         Report {
             processed: owner.processed,
             free: if is_available {
-                self.free_room()
+                self.free_resources()
             } else {
                 super::Room::default()
             },
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -200,7 +200,7 @@
     }
 
     /// Resources reserved for this gateway.
-    pub fn offered_room(&self) -> Room {
+    pub fn offered_resources(&self) -> Room {
         self.offers
             .iter()
             .map(|pending| pending.offer.room)
--- a/laurelstile-core/src/leased/agent/room_knowledge.rs
+++ b/laurelstile-core/src/leased/agent/room_knowledge.rs
@@ -23,8 +23,8 @@
 impl HeartbeatTimes {
     /// How long a heartbeat keeps the capacity valid: at least until the next one.
     fn heartbeat_validity(self) -> Span {
-        let aged = (self.interval.0 + self.grace.0).saturating_sub(IN_FLIGHT_MARGIN.0);
-        Span(aged.max(self.interval.0 + IN_FLIGHT_MARGIN.0))
+        let validity = (self.interval.0 + self.grace.0).saturating_sub(IN_FLIGHT_MARGIN.0);
+        Span(validity.max(self.interval.0 + IN_FLIGHT_MARGIN.0))
     }
 }
 
@@ -46,8 +46,8 @@
     /// agent's last heartbeat is at most one interval older.
     pub fn on_predecessor(&mut self, now: Timestamp, silence: Span, times: HeartbeatTimes) {
         let age = silence.0 + times.interval.0;
-        let left = times.heartbeat_validity().0.saturating_sub(age);
-        self.fresh_until = self.fresh_until.max(now.after(Span(left)));
+        let remaining = times.heartbeat_validity().0.saturating_sub(age);
+        self.fresh_until = self.fresh_until.max(now.after(Span(remaining)));
     }
 
     pub fn is_fresh(&self, now: Timestamp) -> bool {
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -111,17 +111,17 @@
         if run.is_alone && run.room.fits(self.capacity()) {
             return None;
         }
-        let fits_at_once = run.room.fits(self.free_room());
+        let fits_at_once = run.room.fits(self.free_resources());
         let may_wait = run.wait_until > now && self.runs.waiting() < MAX_WAITING;
         (!fits_at_once && !may_wait).then_some(NotStartedReason::Full)
     }
 
     /// Resources that are neither taken, nor needed by waiting tasks, nor reserved by offers.
-    pub(super) fn free_room(&self) -> super::Room {
+    pub(super) fn free_resources(&self) -> super::Room {
         self.capacity()
             .minus(self.runs.taken())
-            .minus(self.runs.waiting_room())
-            .minus(self.offered_room())
+            .minus(self.runs.waiting_resources())
+            .minus(self.offered_resources())
     }
 
     /// Number of further tasks that the worker's health allows; 0 while an exclusive run is
@@ -204,11 +204,11 @@
         &mut self,
         now: Timestamp,
         id: RunId,
-        life: &LifeName,
+        incarnation: &LifeName,
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_current(life) {
+        if !self.is_current(incarnation) {
             self.on_late_start_answer(now, id, answer, effects);
             return;
         }
@@ -220,7 +220,7 @@
                 if state == Some(RunState::Starting) {
                     self.end_run(now, id.task, EndKind::Lost, EndProof::LifeOver, effects);
                 }
-                self.on_incarnation_ended(now, life, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, incarnation, LifeEnd::Superseded, effects);
             }
             Err(OrderFailure::Refused) => {
                 if state == Some(RunState::Starting) {
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -93,16 +93,16 @@
         &mut self,
         now: Timestamp,
         id: RunId,
-        life: &LifeName,
+        incarnation: &LifeName,
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_current(life) {
+        if !self.is_current(incarnation) {
             return;
         }
         match answer {
             Err(OrderFailure::LifeOver) => {
-                self.on_incarnation_ended(now, life, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, incarnation, LifeEnd::Superseded, effects);
             }
             Err(failure @ (OrderFailure::NoAnswer | OrderFailure::Refused)) => {
                 if failure == OrderFailure::Refused {
@@ -165,7 +165,7 @@
     /// still serves.
     pub(super) fn watch_at_once(&mut self, now: Timestamp) {
         if let Some(worker) = &mut self.worker {
-            worker.has_pending_watch = true;
+            worker.wants_watch = true;
             worker.watch_from = worker.watch_from.min(now);
         }
     }
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -45,7 +45,7 @@
         };
         let is_wanted = active > 0
             || !worker.orphans.is_empty()
-            || worker.has_pending_watch
+            || worker.wants_watch
             || !worker.has_synced
             || worker.successor.is_some()
             || worker.has_deregistered()
@@ -61,7 +61,7 @@
             && worker.unanswered_watches == 0
             && !awaits_proof;
         worker.watching = Some(now);
-        worker.has_pending_watch = false;
+        worker.wants_watch = false;
         let last_seen = worker.take_acknowledgement();
         let lease_until = is_renewing.then(|| self.renew(now));
         let kind = OrderKind::Watch {
@@ -79,11 +79,11 @@
     pub(super) fn on_watched(
         &mut self,
         now: Timestamp,
-        name: &LifeName,
+        incarnation: &LifeName,
         answer: Result<WatchAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if !self.is_current(name) {
+        if !self.is_current(incarnation) {
             return;
         }
         let Some(worker) = &mut self.worker else {
@@ -92,12 +92,12 @@
         let queried_at = worker.watching.take().unwrap_or(now);
         match answer {
             Err(OrderFailure::LifeOver) => {
-                self.on_incarnation_ended(now, name, LifeEnd::Superseded, effects);
+                self.on_incarnation_ended(now, incarnation, LifeEnd::Superseded, effects);
             }
             // A crashed process no longer listens. One that is shutting down may stop listening
             // while its runs continue, so its leases are left to expire.
             Err(OrderFailure::Refused) if !worker.is_leaving() => {
-                self.on_incarnation_ended(now, name, LifeEnd::Crashed, effects);
+                self.on_incarnation_ended(now, incarnation, LifeEnd::Crashed, effects);
             }
             Err(OrderFailure::NoAnswer | OrderFailure::Refused) => {
                 worker.unanswered_watches += 1;
@@ -186,7 +186,7 @@
 
     fn on_listed_end(&mut self, now: Timestamp, end: &WorkerEnd, effects: &mut Vec<AgentEffect>) {
         if let Some(worker) = &mut self.worker {
-            worker.has_pending_watch |= end.number > worker.last_seen;
+            worker.wants_watch |= end.number > worker.last_seen;
             worker.last_seen = worker.last_seen.max(end.number);
         }
         let Some(run) = self.runs.run(end.run) else {
@@ -327,7 +327,7 @@
         let worker = self.worker.as_ref();
         let may_return = worker.is_some_and(|worker| worker.incarnation.may_return());
         self.runs
-            .tasks_where(|run| run.takes_room() && !(may_return && run.is_unconfirmed()))
+            .tasks_where(|run| run.takes_resources() && !(may_return && run.is_unconfirmed()))
     }
 }
 
@@ -361,8 +361,8 @@
     }
 }
 
-/// How a run ended that the worker, queried at `queried_at`, does not list; `None` if it may still be
-/// listed. `current` is the current incarnation.
+/// How a run ended that is missing from the run lists requested at `queried_at`; `None` if it may
+/// still be listed. `current` is the number of the current incarnation.
 fn end_if_unlisted(
     queried_at: Timestamp,
     run: &Run,
