--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -9,7 +9,7 @@
 use laurelstile_types::time::Span;
 
 use super::super::crashes::{CrashedTask, WorkerCrash};
-use super::super::life_name::LifeName;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::Run;
 use super::{LeasedAgent, LifeEnd};
 
@@ -66,7 +66,7 @@
     /// had said that it leaves: then its tasks have nothing to do with it.
     pub(super) fn note_life_end(
         &mut self,
-        life: &LifeName,
+        life: &WorkerIncarnation,
         was_draining: bool,
         end: LifeEnd,
         tasks: Vec<CrashedTask>,
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -69,7 +69,7 @@
             self.past_lives.note_deregistered_id(now, id);
             return;
         };
-        let is_confirmed = life.draining || !life.name.may_return();
+        let is_confirmed = life.draining || !life.name.may_restart();
         life.deregistration.get_or_insert(Deregistration {
             since: now,
             is_answered: false,
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -6,10 +6,10 @@
 use laurelstile_types::time::Span;
 
 use super::super::input::JobInput;
-use super::super::life_name::{Born, LifeName};
 use super::super::messages::{EndKind, FromAgent, Member, ToAgent};
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::RunId;
+use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
 use super::proof::EndProof;
 use super::worker::{
     FenceToken, KnownLife, OrderFailure, Registration, Rejection, WorkerClock, WorkerLists,
@@ -59,7 +59,7 @@
         /// The run.
         run: RunId,
         /// Life that the order was for.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The answer.
         answer: Result<OrderAnswer, OrderFailure>,
     },
@@ -68,14 +68,14 @@
         /// The run.
         run: RunId,
         /// Life that the order was for.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The answer.
         answer: Result<OrderAnswer, OrderFailure>,
     },
     /// The worker's lists came, or did not.
     Watched {
         /// Life that was asked.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The answer.
         answer: Result<WatchAnswer, OrderFailure>,
     },
@@ -100,7 +100,7 @@
     /// The worker's clock, if the answer tells it.
     pub clock: Option<WorkerClock>,
     /// When the process began that answers, if it tells.
-    pub born: Option<Born>,
+    pub started_at: Option<StartTime>,
     /// Its lists, or why there are none.
     pub lists: Result<WorkerLists, Rejection>,
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     /// Life of the worker that is meant.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// The agent's token.
     pub token: FenceToken,
     /// What is ordered.
@@ -263,14 +263,14 @@
     /// A worker's life is under this agent's control.
     InControl {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The token.
         token: FenceToken,
     },
     /// A life of the worker is the present one from now on.
     LifeBegan {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// How it became known.
         source: LifeSource,
         /// Whether it drains.
@@ -279,7 +279,7 @@
     /// A heartbeat was answered, and nothing of what it says is heeded.
     HeartbeatIgnored {
         /// The life that it names.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// Why.
         reason: IgnoredHeartbeat,
         /// Whether it says that the worker drains.
@@ -291,7 +291,7 @@
     /// nothing starts there until it does.
     RoomAged {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// A start had no answer when the worker's life ended. It may yet be carried out by the
     /// next life under the id, so its task is not repeated before that is ruled out.
@@ -302,14 +302,14 @@
     /// A deregistration was that of an earlier life: the present one goes on.
     LateDeregistration {
         /// The present life.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// A heartbeat came of a life that has ended: the present one still answers.
     LateHeartbeat {
         /// The ended life.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The present life.
-        present: LifeName,
+        present: WorkerIncarnation,
     },
     /// Nothing came over a session for so long that it was closed.
     SessionSilent {
@@ -341,7 +341,7 @@
     /// A worker's life is over.
     LifeOver {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// How that became known.
         end: LifeEnd,
         /// Runs that ended with it.
@@ -350,7 +350,7 @@
     /// The worker has another room than before.
     CapacityChanged {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The room before.
         before: Room,
         /// The room now.
@@ -359,7 +359,7 @@
     /// The worker drains.
     Draining {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// The worker's zone was evacuated, or taken back.
     Evacuated {
@@ -371,7 +371,7 @@
     /// The worker does not answer.
     WorkerSilent {
         /// The life.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// A run is being stopped for a reason of the agent's own.
     Stopping {
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -8,7 +8,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::{RunId, RunNumber, TaskId};
 use super::super::timing::STOP_AT_MOST;
 use super::life::LifeNumber;
@@ -69,7 +69,7 @@
     /// The gateway that it is for.
     pub owner: Incarnation,
     /// What it needs.
-    pub room: Room,
+    pub resources: Room,
     /// A rough guess of how long it takes.
     pub estimate: Span,
     /// Input of its job.
@@ -269,9 +269,9 @@
             &mut self.waiting_room
         };
         *sum = if is_added {
-            sum.plus(run.room)
+            sum.saturating_add(run.resources)
         } else {
-            sum.minus(run.room)
+            sum.saturating_sub(run.resources)
         };
     }
 }
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::deregistration::Deregistration;
 use super::health::Health;
 use super::lives::Challenger;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Life {
     /// Its name.
-    pub name: LifeName,
+    pub name: WorkerIncarnation,
     /// Its number.
     pub number: LifeNumber,
     /// How it became known.
@@ -193,7 +193,7 @@
         }
     }
 
-    pub(super) fn is_present(&self, name: &LifeName) -> bool {
+    pub(super) fn is_present(&self, name: &WorkerIncarnation) -> bool {
         self.life.as_ref().is_some_and(|life| life.name == *name)
     }
 
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/life_end.rs
@@ -6,9 +6,9 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::{Born, LifeName};
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
+use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
 use super::crash_memory::is_early;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::Life;
@@ -22,7 +22,7 @@
     pub(super) fn on_life_over(
         &mut self,
         now: Timestamp,
-        name: &LifeName,
+        name: &WorkerIncarnation,
         end: LifeEnd,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -35,10 +35,10 @@
             LifeEnd::Deregistered | LifeEnd::Replaced => EndProof::LeaseOver,
         };
         // A worker of another id carries out nothing that was meant for this one.
-        let may_return = name.may_return() && end != LifeEnd::Superseded;
+        let may_restart = name.may_restart() && end != LifeEnd::Superseded;
         for task in self.ledger.tasks_where(|_| true) {
             let is_unconfirmed = self.ledger.get(task).is_some_and(Run::is_unconfirmed);
-            if may_return && is_unconfirmed {
+            if may_restart && is_unconfirmed {
                 self.hold_start(now, task, &present, effects);
             } else {
                 self.end_run(now, task, EndKind::Lost, proof, effects);
@@ -60,7 +60,7 @@
     pub(super) fn on_reborn(
         &mut self,
         now: Timestamp,
-        born: Born,
+        started_at: StartTime,
         shown: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -69,7 +69,7 @@
         };
         self.note_over(now, &mut present, LifeEnd::Reborn, shown, effects);
         self.held_id = Some(Arc::clone(&present.name.id));
-        let name = present.name.reborn(born);
+        let name = present.name.started_again_at(started_at);
         let registered = present.challenger.map(|challenger| challenger.registration);
         match registered.filter(|registration| registration.life == name) {
             Some(registration) => self.begin_registered_life(now, registration, effects),
--- a/laurelstile-core/src/leased/agent/lives.rs
+++ b/laurelstile-core/src/leased/agent/lives.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::Born;
+use super::super::worker_incarnation::StartTime;
 use super::life::Life;
 use super::worker::Registration;
 use super::{AgentDecision, AgentEffect, IgnoredHeartbeat, LeasedAgent, LifeEnd, LifeSource};
@@ -50,7 +50,7 @@
             let is_held = now.since(life.service_heard) <= self.service_is_held_for();
             return (is_other && is_held).then_some(IgnoredHeartbeat::OtherService);
         }
-        if life.name.id == name.id && name.born.is_none() {
+        if life.name.id == name.id && name.started_at.is_none() {
             return Some(IgnoredHeartbeat::NoBirth);
         }
         let has_ended = self.past_lives.contains(name);
@@ -127,7 +127,7 @@
             now: capacity,
         }));
         life.capacity = capacity;
-        let least = capacity.least(life.least_capacity);
+        let least = capacity.min(life.least_capacity);
         let has_shrunk = least != life.least_capacity;
         life.least_capacity = least;
         life.has_shrunk |= has_shrunk;
@@ -221,15 +221,19 @@
     /// The birth of the life that has answered, under this life's id, what was asked at `asked`,
     /// if that is another than this one. Where this life tells no birth, a heartbeat must have
     /// told that of the answer. An answer without a birth leaves the later to be there.
-    pub(super) fn other_birth(&self, asked: Timestamp, answered: Option<Born>) -> Option<Born> {
-        if self.name.is_other_birth(answered) {
+    pub(super) fn other_birth(
+        &self,
+        asked: Timestamp,
+        answered: Option<StartTime>,
+    ) -> Option<StartTime> {
+        if self.name.is_other_incarnation(answered) {
             return answered;
         }
         let challenger = self.challenger.as_ref()?;
-        let claimed = challenger.registration.life.born;
+        let claimed = challenger.registration.life.started_at;
         let is_there = match answered {
-            Some(_) => claimed == answered && claimed != self.name.born,
-            None => challenger.since < asked && claimed > self.name.born,
+            Some(_) => claimed == answered && claimed != self.name.started_at,
+            None => challenger.since < asked && claimed > self.name.started_at,
         };
         claimed.filter(|_| is_there && self.has_namesake())
     }
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -33,7 +33,7 @@
 
 use super::evacuation::Evacuations;
 use super::messages::{EndKind, NotStartedReason};
-use super::room::Room;
+use super::resources::Room;
 use super::task::{RunId, TaskId};
 use crate::session::SessionId;
 use crash_memory::CrashMemory;
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -9,7 +9,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::messages::{Announcement, UNLIMITED};
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
@@ -50,14 +50,14 @@
             return;
         }
         while let Some((gateway, step, announced)) = self.first_in_rank(now) {
-            let tasks = announced.room.times_in(self.free_room());
+            let tasks = announced.resources.count_fitting_in(self.free_room());
             let tasks = tasks.min(announced.count);
             let Some(owner) = self.owners.get_mut(&gateway) else {
                 return;
             };
             owner.offer(
                 step,
-                announced.room.times(tasks),
+                announced.resources.multiplied_by(tasks),
                 tasks,
                 now.after(OFFER_LIMIT),
             );
@@ -77,7 +77,7 @@
                     .announced(now)
                     .map(move |(step, announced)| (*gateway, step, announced))
             })
-            .filter(|(_, _, announced)| announced.room.fits(free))
+            .filter(|(_, _, announced)| announced.resources.fits_in(free))
             .min_by_key(|(_, _, announced)| (announced.rank, announced.until))
     }
 }
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::messages::{Announcement, EndKind, Offer, Report, TaskEnd};
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::{JobId, RunId};
 use super::super::timing::OWNER_SILENCE;
 use crate::session::SessionId;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncedStep {
     /// What each needs.
-    pub room: Room,
+    pub resources: Room,
     /// How many wait, less those for which room was offered.
     pub count: u32,
     /// Rank; the lowest goes first.
@@ -149,7 +149,7 @@
             return;
         }
         let step = AnnouncedStep {
-            room: announcement.room,
+            resources: announcement.resources,
             count: announcement.count,
             rank: announcement.rank,
             until: now.after(Span::from_millis(u64::from(announcement.lasts_millis))),
@@ -166,14 +166,14 @@
     }
 
     /// Holds `room` for `tasks` tasks of a step until `until`.
-    pub fn offer(&mut self, key: StepKey, room: Room, tasks: u32, until: Timestamp) {
+    pub fn offer(&mut self, key: StepKey, resources: Room, tasks: u32, until: Timestamp) {
         if let Some(step) = self.announced.get_mut(&key) {
             step.count = step.count.saturating_sub(tasks);
         }
         self.last_offer += 1;
         let offer = Offer {
             number: self.last_offer,
-            room,
+            resources,
         };
         self.offers.push(PendingOffer {
             offer,
@@ -206,7 +206,7 @@
     pub fn offered_room(&self) -> Room {
         self.offers
             .iter()
-            .map(|pending| pending.offer.room)
+            .map(|pending| pending.offer.resources)
             .fold(Room::default(), Room::plus)
     }
 
@@ -271,7 +271,7 @@
     pub fn note_room(&mut self, now: Timestamp, report: &Report) {
         let has_more = self
             .last_report
-            .is_some_and(|last| !report.free.fits(last.free));
+            .is_some_and(|last| !report.free.fits_in(last.free));
         if has_more {
             self.has_more_room_since.get_or_insert(now);
         } else {
--- a/laurelstile-core/src/leased/agent/past_lives.rs
+++ b/laurelstile-core/src/leased/agent/past_lives.rs
@@ -5,7 +5,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::LifeName;
+use super::super::worker_incarnation::WorkerIncarnation;
 
 /// Most lives that are remembered. Words of a life that come late come within seconds of its
 /// end, in which a worker starts again a few times at most.
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct PastLife {
-    name: LifeName,
+    name: WorkerIncarnation,
     deregistered: Option<Timestamp>,
 }
 
@@ -30,12 +30,12 @@
 
 impl PastLives {
     /// A life has ended, or a heartbeat was one of a life that had.
-    pub fn note_ended(&mut self, name: LifeName) {
+    pub fn note_ended(&mut self, name: WorkerIncarnation) {
         self.note(name, None);
     }
 
     /// A life has said that it ends.
-    pub fn note_deregistered(&mut self, now: Timestamp, name: LifeName) {
+    pub fn note_deregistered(&mut self, now: Timestamp, name: WorkerIncarnation) {
         self.note(name, Some(now));
     }
 
@@ -47,29 +47,35 @@
             Some(life) => life.deregistered = Some(now),
             None => {
                 let id = Arc::clone(id);
-                self.note_deregistered(now, LifeName { id, born: None });
+                self.note_deregistered(
+                    now,
+                    WorkerIncarnation {
+                        id,
+                        started_at: None,
+                    },
+                );
             }
         }
     }
 
     /// A life that was held to be over is not.
-    pub fn forget(&mut self, name: &LifeName) {
+    pub fn forget(&mut self, name: &WorkerIncarnation) {
         self.lives.retain(|life| life.name != *name);
     }
 
     /// Whether that life has ended.
-    pub fn contains(&self, name: &LifeName) -> bool {
+    pub fn contains(&self, name: &WorkerIncarnation) -> bool {
         self.lives.iter().any(|life| life.name == *name)
     }
 
     /// Whether that life has said that it ends, and may not have yet.
-    pub fn is_leaving(&self, now: Timestamp, name: &LifeName) -> bool {
+    pub fn is_leaving(&self, now: Timestamp, name: &WorkerIncarnation) -> bool {
         let life = self.lives.iter().find(|life| life.name == *name);
         let deregistered = life.and_then(|life| life.deregistered);
         deregistered.is_some_and(|at| now.since(at) <= LEAVING)
     }
 
-    fn note(&mut self, name: LifeName, deregistered: Option<Timestamp>) {
+    fn note(&mut self, name: WorkerIncarnation, deregistered: Option<Timestamp>) {
         let known = self.lives.iter_mut().find(|life| life.name == name);
         if let Some(known) = known {
             known.deregistered = deregistered.or(known.deregistered);
--- a/laurelstile-core/src/leased/agent/silence.rs
+++ b/laurelstile-core/src/leased/agent/silence.rs
@@ -52,7 +52,7 @@
     pub(super) fn note_awake(&mut self, now: Timestamp) {
         if now.since(self.last_flush) > STANDSTILL {
             self.awake_since = now;
-            if let Some(life) = self.life.as_mut().filter(|life| life.name.may_return()) {
+            if let Some(life) = self.life.as_mut().filter(|life| life.name.may_restart()) {
                 life.has_synced = false;
             }
         }
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -4,10 +4,10 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::LifeName;
 use super::super::messages::{EndKind, NotStartedReason, StartBatch};
 use super::super::task::{RunId, TaskId};
 use super::super::timing::START_FRESHNESS;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::LifeNumber;
 use super::proof::EndProof;
@@ -46,7 +46,7 @@
             let run = Run {
                 number: *number,
                 owner: gateway,
-                room: batch.room,
+                resources: batch.resources,
                 estimate: Span::from_millis(u64::from(batch.estimate_millis)),
                 input: batch.input.clone(),
                 wait_until: now.after(Span::from_millis(u64::from(batch.patience_millis))),
@@ -108,10 +108,10 @@
         if !self.is_available(now) || self.limit_left(now) == 0 {
             return Some(NotStartedReason::Unavailable);
         }
-        if run.is_alone && run.room.fits(self.capacity()) {
+        if run.is_alone && run.resources.fits_in(self.capacity()) {
             return None;
         }
-        let fits_at_once = run.room.fits(self.free_room());
+        let fits_at_once = run.resources.fits_in(self.free_room());
         let may_wait = run.wait_until > now && self.ledger.waiting() < MOST_WAITING;
         (!fits_at_once && !may_wait).then_some(NotStartedReason::Full)
     }
@@ -119,9 +119,9 @@
     /// Room that is neither taken nor spoken for.
     pub(super) fn free_room(&self) -> super::Room {
         self.capacity()
-            .minus(self.ledger.taken())
-            .minus(self.ledger.waiting_room())
-            .minus(self.offered_room())
+            .saturating_sub(self.ledger.taken())
+            .saturating_sub(self.ledger.waiting_room())
+            .saturating_sub(self.offered_room())
     }
 
     /// Tasks that may still be taken in, by the worker's health; none beside one that is
@@ -152,12 +152,12 @@
     }
 
     fn start_if_fits(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<AgentEffect>) {
-        let free = self.capacity().minus(self.ledger.taken());
+        let free = self.capacity().saturating_sub(self.ledger.taken());
         let Some(run) = self.ledger.get(task) else {
             return;
         };
         let must_wait = run.is_alone && self.ledger.active() > 0;
-        if must_wait || !run.room.fits(free) {
+        if must_wait || !run.resources.fits_in(free) {
             return;
         }
         let input = run.input.clone();
@@ -204,7 +204,7 @@
         &mut self,
         now: Timestamp,
         id: RunId,
-        life: &LifeName,
+        life: &WorkerIncarnation,
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -3,10 +3,10 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::LifeName;
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
 use super::super::timing::LEASE_AT_MOST;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::{Run, RunState, StopReason};
 use super::proof::EndProof;
 use super::worker::{OrderFailure, Rejection};
@@ -95,7 +95,7 @@
         &mut self,
         now: Timestamp,
         id: RunId,
-        life: &LifeName,
+        life: &WorkerIncarnation,
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -6,10 +6,10 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::LifeName;
 use super::super::messages::EndKind;
 use super::super::task::{RunId, TaskId};
 use super::super::timing::{LEASE_AT_MOST, STOP_AT_MOST};
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::lease::lease_over_at;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::{Life, LifeNumber};
@@ -78,7 +78,7 @@
     pub(super) fn on_watched(
         &mut self,
         now: Timestamp,
-        name: &LifeName,
+        name: &WorkerIncarnation,
         answer: Result<WatchAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -120,11 +120,11 @@
         let Some(life) = &mut self.life else {
             return;
         };
-        if let Some(born) = life.other_birth(asked, answer.born) {
+        if let Some(started_at) = life.other_birth(asked, answer.started_at) {
             // Its lists answer an order for the life before. The next watch has the token that
             // fences off whatever is still under way for that.
             let shown = answer.lists.as_ref().map(WorkerLists::shown);
-            self.on_reborn(now, born, &shown.unwrap_or_default(), effects);
+            self.on_reborn(now, started_at, &shown.unwrap_or_default(), effects);
             self.note_clock(now, answer.clock);
             return;
         }
@@ -324,9 +324,9 @@
     /// is by a clock that has begun anew.
     fn lapsing_tasks(&self) -> Vec<TaskId> {
         let life = self.life.as_ref();
-        let may_return = life.is_some_and(|life| life.name.may_return());
+        let may_restart = life.is_some_and(|life| life.name.may_restart());
         self.ledger
-            .tasks_where(|run| run.takes_room() && !(may_return && run.is_unconfirmed()))
+            .tasks_where(|run| run.takes_room() && !(may_restart && run.is_unconfirmed()))
     }
 }
 
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 
 /// A reading of the worker's own steady clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Which life of the worker speaks.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// The service that it serves.
     pub service: String,
     /// Its room.
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::{JobId, RunNumber, TaskId};
 use super::queues::QueueSettings;
 use super::run_times::RunTimes;
@@ -40,7 +40,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each needs.
-    pub room: Room,
+    pub resources: Room,
     /// A rough guess of how long each takes.
     pub estimate: Span,
     /// Steps that must be done before.
@@ -329,7 +329,8 @@
     /// All work by the estimates, in core-milliseconds.
     pub fn work(&self) -> u64 {
         let of_step = |step: &Step| {
-            let cores = u64::from(step.request.room.cpu_millis) * u64::from(step.request.count);
+            let cores =
+                u64::from(step.request.resources.cpu_millis) * u64::from(step.request.count);
             cores * step.request.estimate.as_millis() / 1_000
         };
         self.steps.iter().map(of_step).sum()
--- a/laurelstile-core/src/leased/gateway/offers.rs
+++ b/laurelstile-core/src/leased/gateway/offers.rs
@@ -132,7 +132,7 @@
         let best_pace = self.best_pace(now, &job.queue.service)?;
         let wanted = wanted_from(now, job, step, best_pace, worker)?;
         let request = &job.steps[step].request;
-        let fitting = request.room.times_in(offer.room);
+        let fitting = request.resources.count_fitting_in(offer.resources);
         let together = u32::try_from(job.steps[step].waiting.len()).unwrap_or(u32::MAX);
         let tasks = fitting.min(wanted).min(together);
         if tasks > 0 {
@@ -273,7 +273,7 @@
     Announcement {
         job: job.id,
         step: u32::try_from(step).unwrap_or(u32::MAX),
-        room: job.steps[step].request.room,
+        resources: job.steps[step].request.resources,
         count: u32::try_from(job.steps[step].waiting_count()).unwrap_or(u32::MAX),
         rank,
         lasts_millis: u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX),
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -17,7 +17,7 @@
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{StartBatch, ToAgentBody};
-use crate::leased::room::Room;
+use crate::leased::resources::Room;
 use crate::leased::task::{JobId, RunNumber};
 
 /// What a worker of another zone costs more, in microseconds of run time.
@@ -39,7 +39,7 @@
     /// Whether the queue is contained: it has other workers than the rest of its service.
     is_contained: bool,
     label: Option<String>,
-    room: Room,
+    resources: Room,
 }
 
 impl Shortage {
@@ -49,7 +49,7 @@
         let has_same_workers =
             self.queue.service == queue.service && self.is_contained == is_contained;
         let is_narrower = self.label.is_none() || self.label == step.label;
-        has_same_workers && is_narrower && self.room.fits(step.room)
+        has_same_workers && is_narrower && self.resources.fits_in(step.resources)
     }
 }
 
@@ -124,7 +124,7 @@
                     queue: Arc::clone(&job.queue),
                     is_contained,
                     label: request.label.clone(),
-                    room: request.room,
+                    resources: request.resources,
                 });
                 return false;
             };
@@ -187,7 +187,11 @@
             return None;
         }
         let free = worker.free_room();
-        let tasks = request.room.times_in(free).min(worker.limit()).min(wanted);
+        let tasks = request
+            .resources
+            .count_fitting_in(free)
+            .min(worker.limit())
+            .min(wanted);
         if tasks == 0 {
             return None;
         }
@@ -247,7 +251,7 @@
         let reported = if candidate.offer.is_some() {
             Room::default()
         } else {
-            request.room.times(count)
+            request.resources.multiplied_by(count)
         };
         let patience = if candidate.is_alone {
             ALONE_PATIENCE
@@ -267,7 +271,7 @@
             job: id,
             step: u32::try_from(step).unwrap_or(u32::MAX),
             input: job.input.clone(),
-            room: request.room,
+            resources: request.resources,
             estimate_millis: u32::try_from(request.estimate.as_millis()).unwrap_or(u32::MAX),
             patience_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
             tasks,
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -217,7 +217,7 @@
             let capacity = worker.snapshot.as_ref().map(|known| known.capacity);
             worker.is_usable(now, service)
                 && self.is_open_to(&job.queue, **agent)
-                && capacity.is_some_and(|capacity| request.room.fits(capacity))
+                && capacity.is_some_and(|capacity| request.resources.fits_in(capacity))
                 && worker.fulfils(request)
         });
         let (agent, worker) = usable.max_by_key(|(_, worker)| worker.free_permille())?;
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -6,7 +6,7 @@
 
 use super::super::evacuation::Evacuations;
 use super::super::messages::{Offer, Report, Snapshot};
-use super::super::room::Room;
+use super::super::resources::Room;
 use super::super::task::{JobId, RunNumber, TaskId};
 use super::super::timing::{BUSY_HEARTBEAT, BUSY_SUSPICION, IDLE_SUSPICION, LAPSE_AFTER_SILENCE};
 use super::job::StepRequest;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Unreported {
     number: u64,
-    room: Room,
+    resources: Room,
     tasks: u32,
 }
 
@@ -156,11 +156,11 @@
 
     /// Number of the next batch, which has `tasks` tasks that take `room` together of
     /// what was reported as free.
-    pub fn next_batch(&mut self, room: Room, tasks: u32) -> u64 {
+    pub fn next_batch(&mut self, resources: Room, tasks: u32) -> u64 {
         self.batches += 1;
         self.unreported.push_back(Unreported {
             number: self.batches,
-            room,
+            resources,
             tasks,
         });
         self.batches
@@ -170,7 +170,9 @@
     pub fn free_room(&self) -> Room {
         self.unreported
             .iter()
-            .fold(self.report.free, |free, batch| free.minus(batch.room))
+            .fold(self.report.free, |free, batch| {
+                free.saturating_sub(batch.resources)
+            })
     }
 
     /// Tasks that it may still be given.
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -11,7 +11,7 @@
 use super::gateway::queues::QueueConfiguration;
 use super::input::JobInput;
 use super::membership::digest::{Digest, PartDigests};
-use super::room::Room;
+use super::resources::Room;
 use super::serde_defaults::is_false;
 use super::task::{JobId, RunNumber, TaskId};
 
@@ -84,7 +84,7 @@
     pub step: u32,
     /// What each task needs.
     #[serde(rename = "o")]
-    pub room: Room,
+    pub resources: Room,
     /// Number of tasks; 0 if none waits any more.
     #[serde(rename = "k")]
     pub count: u32,
@@ -102,7 +102,7 @@
         Self {
             job,
             step,
-            room: Room::default(),
+            resources: Room::default(),
             count: 0,
             rank: 0,
             lasts_millis: 0,
@@ -118,7 +118,7 @@
     pub number: u64,
     /// The room.
     #[serde(rename = "o")]
-    pub room: Room,
+    pub resources: Room,
 }
 
 /// Tasks of one step of a job, for one worker.
@@ -138,7 +138,7 @@
     pub input: JobInput,
     /// What each task needs.
     #[serde(rename = "o")]
-    pub room: Room,
+    pub resources: Room,
     /// A rough guess of how long each task takes, in milliseconds.
     #[serde(rename = "d")]
     pub estimate_millis: u32,
--- a/laurelstile-core/src/leased/room.rs
+++ b/laurelstile-core/src/leased/resources.rs
@@ -26,14 +26,14 @@
 
 impl Room {
     /// Whether this much fits into `free`.
-    pub fn fits(self, free: Self) -> bool {
+    pub fn fits_in(self, free: Self) -> bool {
         self.cpu_millis <= free.cpu_millis
             && self.memory_mib <= free.memory_mib
             && self.gpus <= free.gpus
     }
 
     /// How many times this much fits into `free`; `u32::MAX` if it is nothing.
-    pub fn times_in(self, free: Self) -> u32 {
+    pub fn count_fitting_in(self, free: Self) -> u32 {
         let times = |need: u32, free: u32| free.checked_div(need).unwrap_or(u32::MAX);
         times(self.cpu_millis, free.cpu_millis)
             .min(times(self.memory_mib, free.memory_mib))
@@ -41,7 +41,7 @@
     }
 
     /// This much `count` times.
-    pub fn times(self, count: u32) -> Self {
+    pub fn multiplied_by(self, count: u32) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_mul(count),
             memory_mib: self.memory_mib.saturating_mul(count),
@@ -50,7 +50,7 @@
     }
 
     /// Of each kind the smaller amount.
-    pub fn least(self, other: Self) -> Self {
+    pub fn min(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
             memory_mib: self.memory_mib.min(other.memory_mib),
@@ -59,7 +59,7 @@
     }
 
     /// Both together.
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
             memory_mib: self.memory_mib.saturating_add(other.memory_mib),
@@ -68,7 +68,7 @@
     }
 
     /// What is left without `other`; nothing where `other` is more.
-    pub fn minus(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
             memory_mib: self.memory_mib.saturating_sub(other.memory_mib),
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -380,19 +380,23 @@
     let id = rig.take_starts()[0];
     rig.answer_start(at(11), id, None);
     rig.tick(at(30));
-    assert_eq!(rig.told_room(other), Some(0));
+    assert_eq!(rig.reported_free_cpu(other), Some(0));
     rig.answer_watch(at(100), lists(&[], &[(1, id, WorkerEndKind::Done)]));
-    assert_eq!(rig.told_room(SESSION), Some(1_000));
-    assert_eq!(rig.told_room(other), Some(0));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(1_000));
+    assert_eq!(rig.reported_free_cpu(other), Some(0));
     let batch = rig.batch(2, 1, 4);
     rig.message(at(103), batch);
     rig.tick(at(120));
-    assert_eq!(rig.told_room(other), Some(0), "it is taken again");
+    assert_eq!(rig.reported_free_cpu(other), Some(0), "it is taken again");
     let id = rig.take_starts()[0];
     rig.answer_start(at(121), id, None);
     rig.answer_watch(at(200), lists(&[], &[(2, id, WorkerEndKind::Done)]));
     rig.tick(at(210));
-    assert_eq!(rig.told_room(other), Some(1_000), "nobody has taken it");
+    assert_eq!(
+        rig.reported_free_cpu(other),
+        Some(1_000),
+        "nobody has taken it"
+    );
 }
 
 #[test]
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -44,7 +44,7 @@
     let watched = AgentEvent::Watched {
         life: "life-1".into(),
         answer: Ok(WatchAnswer {
-            born: None,
+            started_at: None,
             clock: Some(worker_clock(at(millis))),
             lists: Ok(WorkerLists::default()),
         }),
@@ -174,7 +174,7 @@
     let snapshot = last_snapshot(&rig).expect("told anew");
     assert_eq!(snapshot.capacity, cpu(2_500));
     assert_eq!(snapshot.held.len(), 2);
-    assert_eq!(rig.told_room(SESSION), Some(500));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(500));
 }
 
 /// A cut may hold a heartbeat back until later ones have come.
@@ -191,8 +191,8 @@
 #[test]
 fn a_later_agent_knows_the_least_room_that_the_life_has_had() {
     let mut rig = running();
-    for (millis, room) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
-        rig.register(at(millis), "life-1", cpu(room), false);
+    for (millis, resources) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
+        rig.register(at(millis), "life-1", cpu(resources), false);
     }
     let known: Vec<(u32, bool)> = rig
         .remembered
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -254,7 +254,7 @@
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_500));
     let mut large = job(1, 1, 100);
-    large.steps[0].room = cpu(2_000);
+    large.steps[0].resources = cpu(2_000);
     rig.submit(at(10), 1, large);
     rig.submit(at(11), 2, job(2, 2, 200));
     let batch = rig.next_start().1;
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -7,9 +7,9 @@
     OrderFailure, Rejection, WorkerEndKind, WorkerLists,
 };
 use laurelstile_core::leased::agent::{AgentDecision, AgentEvent, LifeEnd, OrderAnswer};
-use laurelstile_core::leased::life_name::Born;
 use laurelstile_core::leased::messages::{EndKind, NotStartedReason, ToAgentBody};
 use laurelstile_core::leased::task::RunNumber;
+use laurelstile_core::leased::worker_incarnation::StartTime;
 use leased_support::{
     AgentRig, FIRST, SECOND, answers_reborn, at, cpu, in_first_life, life, lists, run, running,
     task, word,
@@ -21,7 +21,7 @@
 fn orders_for_the_life_before_are_fenced_off() {
     let mut rig = running();
     let before = rig.last_token();
-    rig.answer_watch_of(at(40), Some(Born(SECOND)), Ok(WorkerLists::default()));
+    rig.answer_watch_of(at(40), Some(StartTime(SECOND)), Ok(WorkerLists::default()));
     let next = rig.orders.back().expect("the next life is asked at once");
     assert_eq!(next.life, life(SECOND));
     assert!(Some(next.token.0) > before);
--- a/laurelstile-core/tests/leased_late_words.rs
+++ b/laurelstile-core/tests/leased_late_words.rs
@@ -5,8 +5,8 @@
 
 use laurelstile_core::leased::agent::worker::{Registration, WorkerLists};
 use laurelstile_core::leased::agent::{AgentDecision, HeartbeatTimes, IgnoredHeartbeat, LifeEnd};
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, ToAgentBody};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_types::time::Span;
 use leased_support::{
     AgentRig, FIRST, SECOND, SECOND_BY_A_CLOCK_SET_BACK, SESSION, at, cpu, in_first_life, life,
@@ -45,7 +45,7 @@
     let mut rig = returned();
     rig.heartbeat(at(600), word);
     assert!(rig.is_available());
-    let told = rig.told_room(SESSION);
+    let told = rig.reported_free_cpu(SESSION);
     assert_eq!(told, Some(4_000));
     let ignored = rig.decisions.iter().find_map(|decision| match decision {
         AgentDecision::HeartbeatIgnored { reason, .. } => Some(*reason),
@@ -110,14 +110,14 @@
 #[rstest]
 #[case::later(SECOND, 2)]
 #[case::earlier(SECOND_BY_A_CLOCK_SET_BACK, 0)]
-fn lists_without_a_birth_do_not_hide_a_restart(#[case] born: u64, #[case] lost: usize) {
+fn lists_without_a_birth_do_not_hide_a_restart(#[case] started_at: u64, #[case] lost: usize) {
     let mut rig = running();
     rig.answer_watch_of(
         at(20),
         None,
         Ok(lists(&[(run(1, 0), 10), (run(1, 1), 10)], &[])),
     );
-    rig.heartbeat(at(30), word(born, 1, 4_000, false));
+    rig.heartbeat(at(30), word(started_at, 1, 4_000, false));
     rig.answer_watch_of(
         at(40),
         None,
@@ -200,9 +200,9 @@
     rig.life = "worker-1".into();
     rig.register(at(0), "worker-1", cpu(1_000), true);
     rig.heartbeat(at(1), word(FIRST, 9_000, 4_000, false));
-    for asked in [LifeName::from("worker-1"), life(FIRST)] {
+    for asked in [WorkerIncarnation::from("worker-1"), life(FIRST)] {
         rig.life = asked;
-        rig.answer_watch_of(at(2), Some(Born(FIRST)), Ok(WorkerLists::default()));
+        rig.answer_watch_of(at(2), Some(StartTime(FIRST)), Ok(WorkerLists::default()));
     }
     assert!(rig.is_available());
 }
--- a/laurelstile-core/tests/leased_messages.rs
+++ b/laurelstile-core/tests/leased_messages.rs
@@ -7,7 +7,7 @@
 use laurelstile_core::leased::messages::{
     EndKind, FromAgent, FromAgentBody, Report, StartBatch, TaskEnd, ToAgent, ToAgentBody, UNLIMITED,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::{JobId, RunNumber, TaskId};
 use laurelstile_types::time::Timestamp;
 use proptest::prelude::{Strategy, any, prop, proptest};
@@ -28,7 +28,7 @@
     ciborium::from_reader(bytes).expect("what was encoded can be decoded")
 }
 
-fn room(cpu_millis: u32) -> Room {
+fn resources(cpu_millis: u32) -> Room {
     Room {
         cpu_millis,
         memory_mib: 30_000,
@@ -39,7 +39,7 @@
 fn report(limit: u32, pace_percent: u32) -> Report {
     Report {
         processed: 300,
-        free: room(12_000),
+        free: resources(12_000),
         limit,
         pace_percent,
     }
@@ -91,7 +91,7 @@
             job: JobId(u64::MAX),
             step: 0,
             input,
-            room: room(3_800),
+            resources: resources(3_800),
             estimate_millis: 200,
             patience_millis: 4,
             tasks: vec![(0, RunNumber(1)), (1, RunNumber(1))],
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -7,7 +7,7 @@
 use laurelstile_core::leased::messages::{
     Announcement, EndKind, FromAgentBody, Offer, ToAgentBody,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::JobId;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
@@ -22,7 +22,7 @@
     Announcement {
         job: JobId(job),
         step: 0,
-        room: cpu(1_000),
+        resources: cpu(1_000),
         count,
         rank,
         lasts_millis: 200,
@@ -56,7 +56,7 @@
     end_run(&mut rig, at(30));
     assert_eq!(rig.offers(OTHER), vec![cpu(1_000)]);
     assert!(rig.offers(SESSION).is_empty());
-    assert_eq!(rig.told_room(SESSION), Some(0));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(0));
 }
 
 #[test]
@@ -108,7 +108,11 @@
     rig.tick(at(41));
     rig.tick(at(60));
     assert_eq!(rig.offers(OTHER).len(), 1, "one offer, and no second");
-    assert_eq!(rig.told_room(OTHER), Some(1_000), "the room is free again");
+    assert_eq!(
+        rig.reported_free_cpu(OTHER),
+        Some(1_000),
+        "the room is free again"
+    );
 }
 
 #[test]
@@ -148,8 +152,8 @@
     }
 }
 
-fn offer(rig: &mut GatewayRig, now: Timestamp, number: u64, room: Room) {
-    rig.offer(now, 1, Offer { number, room });
+fn offer(rig: &mut GatewayRig, now: Timestamp, number: u64, resources: Room) {
+    rig.offer(now, 1, Offer { number, resources });
 }
 
 #[test]
--- a/laurelstile-core/tests/leased_release.rs
+++ b/laurelstile-core/tests/leased_release.rs
@@ -16,7 +16,7 @@
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.open(at(0), OTHER, Incarnation(8));
     rig.tick(at(50));
-    assert_eq!(rig.told_room(OTHER), Some(1_000));
+    assert_eq!(rig.reported_free_cpu(OTHER), Some(1_000));
     rig.machine.release(OTHER, true);
     rig.tick(at(100));
     rig
@@ -25,15 +25,19 @@
 #[test]
 fn a_released_gateway_is_told_that_there_is_no_room() {
     let mut rig = rig_with_released_gateway();
-    assert_eq!(rig.told_room(OTHER), Some(0));
-    assert_eq!(rig.told_room(SESSION), Some(1_000));
+    assert_eq!(rig.reported_free_cpu(OTHER), Some(0));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(1_000));
     assert!(rig.machine.is_idle_for(OTHER));
     rig.machine.release(OTHER, false);
     rig.tick(at(200));
     // More room is told a moment later to those whose tasks have not made it.
     let wakeup = rig.machine.next_wakeup(at(200)).expect("a report is due");
     rig.tick(wakeup);
-    assert_eq!(rig.told_room(OTHER), Some(1_000), "it is wanted again");
+    assert_eq!(
+        rig.reported_free_cpu(OTHER),
+        Some(1_000),
+        "it is wanted again"
+    );
 }
 
 /// It may have been sent before the gateway heard.
@@ -58,7 +62,7 @@
     let waiting = Announcement {
         job: JobId(3),
         step: 0,
-        room: cpu(1_000),
+        resources: cpu(1_000),
         count: 1,
         rank: 0,
         lasts_millis: 200,
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -20,8 +20,8 @@
     Registration, Rejection, WorkerClock, WorkerEndKind, WorkerLists,
 };
 use laurelstile_core::leased::agent::{AgentDecision, AgentEvent, WatchAnswer};
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use leased_support::{
     AgentRig, FIRST, SECOND, SECOND_BY_A_CLOCK_SET_BACK, answers_reborn, at, cpu, in_first_life,
     life, lists, registration, returned, run, running, task, word,
@@ -36,9 +36,9 @@
     #[case] first: Option<u64>,
     #[case] second: Option<u64>,
 ) {
-    let named = |born: Option<u64>| LifeName {
+    let named = |started_at: Option<u64>| WorkerIncarnation {
         id: "worker-1".into(),
-        born: born.map(Born),
+        started_at: started_at.map(StartTime),
     };
     let mut rig = AgentRig::new();
     rig.life = named(first);
@@ -105,15 +105,15 @@
 #[rstest]
 #[case::later(SECOND)]
 #[case::by_a_clock_set_back(SECOND_BY_A_CLOCK_SET_BACK)]
-fn what_ran_before_an_unseen_restart_is_over(#[case] born: u64) {
+fn what_ran_before_an_unseen_restart_is_over(#[case] started_at: u64) {
     let mut rig = running();
-    rig.heartbeat(at(30), word(born, 1, 4_000, false));
+    rig.heartbeat(at(30), word(started_at, 1, 4_000, false));
     assert!(!rig.is_available(), "one of the two lives is not there");
-    answers_reborn(&mut rig, at(31), born, WorkerLists::default());
+    answers_reborn(&mut rig, at(31), started_at, WorkerLists::default());
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
     assert_eq!(rig.ends(), lost);
     assert!(rig.is_available());
-    rig.heartbeat(at(1_000), word(born, 970, 4_000, true));
+    rig.heartbeat(at(1_000), word(started_at, 970, 4_000, true));
     assert!(!rig.is_available(), "its next word is heeded");
 }
 
@@ -145,7 +145,7 @@
     for (asked, clock) in [(FIRST, 2), (SECOND, 3)] {
         let answer = Ok(WatchAnswer {
             clock: Some(WorkerClock(clock)),
-            born: Some(Born(SECOND)),
+            started_at: Some(StartTime(SECOND)),
             lists: Ok(WorkerLists::default()),
         });
         let life = life(asked);
@@ -167,7 +167,7 @@
     assert_eq!(rig.take_watches()[0].0, 7);
     rig.answer_watch(at(41), lists(&[(run(1, 1), 50)], &[]));
     assert_eq!(rig.take_watches()[0].0, 0, "said once");
-    rig.answer_watch_of(at(70), Some(Born(SECOND)), Ok(WorkerLists::default()));
+    rig.answer_watch_of(at(70), Some(StartTime(SECOND)), Ok(WorkerLists::default()));
     assert_eq!(rig.take_watches()[0].0, 0);
 }
 
--- a/laurelstile-core/tests/leased_start_window.rs
+++ b/laurelstile-core/tests/leased_start_window.rs
@@ -136,7 +136,7 @@
 fn a_report_opens_the_way_out_for_what_waits() {
     let mut rig = GatewayRig::new();
     let started = fill(&mut rig);
-    let room = cpu(8_000_000);
-    rig.report(at(15), 1, started, room, FromAgentBody::Heartbeat);
+    let resources = cpu(8_000_000);
+    rig.report(at(15), 1, started, resources, FromAgentBody::Heartbeat);
     assert_eq!(rig.starts.len() as u64, started + 1);
 }
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -11,12 +11,12 @@
     AgentDecision, AgentEffect, AgentEvent, AgentOptions, HeartbeatTimes, LeasedAgent, Order,
     OrderAnswer, OrderKind, WatchAnswer,
 };
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::messages::{
     EndKind, FromAgent, FromAgentBody, Offer, Report, StartBatch, ToAgent, ToAgentBody,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -39,7 +39,7 @@
     /// Ids whose deregistrations were answered, in order.
     pub deregistrations: Vec<String>,
     /// The life of the worker for which orders are answered.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// What the log was told, in order.
     pub decisions: Vec<AgentDecision>,
     /// Whether the machine has stopped.
@@ -69,7 +69,7 @@
 /// What the worker says of itself in a life.
 pub fn registration(
     now: Timestamp,
-    life: LifeName,
+    life: WorkerIncarnation,
     capacity: Room,
     draining: bool,
 ) -> Registration {
@@ -125,7 +125,7 @@
     }
 
     /// Free room that a session was last told of, in thousandths of a core.
-    pub fn told_room(&self, session: SessionId) -> Option<u32> {
+    pub fn reported_free_cpu(&self, session: SessionId) -> Option<u32> {
         let reports = self.sent.iter().rev().filter(|(to, _)| *to == session);
         let mut rooms = reports.filter_map(|(_, message)| message.report);
         rooms.next().map(|report| report.free.cpu_millis)
@@ -133,7 +133,9 @@
 
     /// Rooms that a session was offered, in order.
     pub fn offers(&self, session: SessionId) -> Vec<Room> {
-        self.offers_to(session).map(|offer| offer.room).collect()
+        self.offers_to(session)
+            .map(|offer| offer.resources)
+            .collect()
     }
 
     /// The last offer to a session.
@@ -274,7 +276,7 @@
             job: JobId(job),
             step: 0,
             input: "input".into(),
-            room: cpu(1_000),
+            resources: cpu(1_000),
             estimate_millis: 100,
             patience_millis,
             tasks: (0..tasks).map(|index| (index, RunNumber(1))).collect(),
@@ -390,21 +392,21 @@
 
     /// The worker answers the watch that is under way, or rejects it.
     pub fn answer_watch_as(&mut self, now: Timestamp, lists: Result<WorkerLists, Rejection>) {
-        let born = self.life.born;
-        self.answer_watch_of(now, born, lists);
+        let started_at = self.life.started_at;
+        self.answer_watch_of(now, started_at, lists);
     }
 
     /// A process that was born then answers the watch that is under way.
     pub fn answer_watch_of(
         &mut self,
         now: Timestamp,
-        born: Option<Born>,
+        started_at: Option<StartTime>,
         lists: Result<WorkerLists, Rejection>,
     ) {
         self.take_watches();
         let answer = Ok(WatchAnswer {
             clock: Some(worker_clock(now)),
-            born,
+            started_at,
             lists,
         });
         self.event(
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -12,7 +12,7 @@
     Announcement, EndKind, FromAgent, FromAgentBody, Member, Offer, Report, Snapshot, StartBatch,
     TaskEnd, ToAgentBody, ToPeer, UNLIMITED,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::{RunNumber, TaskId};
 use laurelstile_core::session::{Remote, SessionId};
 use laurelstile_types::id::Incarnation;
--- a/laurelstile-core/tests/leased_support/mod.rs
+++ b/laurelstile-core/tests/leased_support/mod.rs
@@ -12,7 +12,7 @@
 use laurelstile_core::leased::gateway::StopTimes;
 use laurelstile_core::leased::gateway::job::{JobRequest, StepRequest};
 use laurelstile_core::leased::gateway::queues::{QueueConfiguration, QueueSettings};
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -82,7 +82,7 @@
         input: "input".into(),
         steps: vec![StepRequest {
             count: tasks,
-            room: cpu(1_000),
+            resources: cpu(1_000),
             estimate: Span::from_millis(estimate_millis),
             after: Vec::new(),
             label: None,
--- a/laurelstile-core/tests/leased_support/returning.rs
+++ b/laurelstile-core/tests/leased_support/returning.rs
@@ -1,7 +1,7 @@
 //! A worker that starts again under its id, as tests play it.
 
 use laurelstile_core::leased::agent::worker::{Registration, WorkerClock, WorkerLists};
-use laurelstile_core::leased::life_name::{Born, LifeName};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_types::time::Timestamp;
 
 use super::{AgentRig, at, cpu, registration};
@@ -14,19 +14,19 @@
 pub const SECOND_BY_A_CLOCK_SET_BACK: u64 = FIRST - 2_000;
 
 /// The worker's life that began then.
-pub fn life(born: u64) -> LifeName {
-    LifeName {
+pub fn life(started_at: u64) -> WorkerIncarnation {
+    WorkerIncarnation {
         id: "worker-1".into(),
-        born: Some(Born(born)),
+        started_at: Some(StartTime(started_at)),
     }
 }
 
 /// What it says of itself `age` milliseconds after its birth: its counts begin anew.
-pub fn word(born: u64, age: u64, cpu_millis: u32, draining: bool) -> Registration {
+pub fn word(started_at: u64, age: u64, cpu_millis: u32, draining: bool) -> Registration {
     Registration {
         clock: WorkerClock(age),
         sequence: age,
-        ..registration(at(0), life(born), cpu(cpu_millis), draining)
+        ..registration(at(0), life(started_at), cpu(cpu_millis), draining)
     }
 }
 
@@ -51,9 +51,9 @@
 }
 
 /// The worker answers in its second life, for which orders are answered from now on.
-pub fn answers_reborn(rig: &mut AgentRig, now: Timestamp, born: u64, shown: WorkerLists) {
-    rig.answer_watch_of(now, Some(Born(born)), Ok(shown.clone()));
-    rig.life = life(born);
+pub fn answers_reborn(rig: &mut AgentRig, now: Timestamp, started_at: u64, shown: WorkerLists) {
+    rig.answer_watch_of(now, Some(StartTime(started_at)), Ok(shown.clone()));
+    rig.life = life(started_at);
     rig.answer_watch(now, shown);
 }
 
--- a/laurelstile-sim/src/fleet/machines.rs
+++ b/laurelstile-sim/src/fleet/machines.rs
@@ -8,7 +8,7 @@
 use laurelstile_core::leased::gateway::{Identity, LeasedGateway, StopTimes};
 use laurelstile_core::leased::membership::subset::Subset;
 use laurelstile_core::leased::messages::Member;
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
--- a/laurelstile-sim/src/fleet/world.rs
+++ b/laurelstile-sim/src/fleet/world.rs
@@ -227,7 +227,7 @@
             Happening::Watched(order) => {
                 let answer = WatchAnswer {
                     clock: Some(machines::worker_clock(self.now)),
-                    born: None,
+                    started_at: None,
                     lists: Ok(WorkerLists::default()),
                 };
                 let life = order.life;
--- a/laurelstile-sim/src/leased/orders.rs
+++ b/laurelstile-sim/src/leased/orders.rs
@@ -107,7 +107,7 @@
                 if let Err(rejection) = watched {
                     let answer = WatchAnswer {
                         clock: Some(self.workers[worker].clock(self.now)),
-                        born: self.workers[worker].life_name().born,
+                        started_at: self.workers[worker].worker_incarnation().started_at,
                         lists: Err(rejection),
                     };
                     let event = AgentEvent::Watched {
@@ -200,7 +200,7 @@
             return;
         };
         let event = AgentEvent::Watched {
-            life: self.workers[worker].life_name(),
+            life: self.workers[worker].worker_incarnation(),
             answer: Err(OrderFailure::NoAnswer),
         };
         self.answer_agent(worker, watch.agent, NEARBY, event);
@@ -232,7 +232,7 @@
         let state = &self.workers[worker];
         let answer = WatchAnswer {
             clock: Some(state.clock(self.now)),
-            born: state.life_name().born,
+            started_at: state.worker_incarnation().started_at,
             lists: Ok(lists),
         };
         let event = AgentEvent::Watched {
@@ -279,7 +279,7 @@
             life,
             answer: answer.map(|answer| WatchAnswer {
                 clock: answer.clock,
-                born: None,
+                started_at: None,
                 lists: Ok(WorkerLists::default()),
             }),
         },
--- a/laurelstile-sim/src/leased/worker.rs
+++ b/laurelstile-sim/src/leased/worker.rs
@@ -6,8 +6,8 @@
     FenceToken, Rejection, WorkerClock, WorkerEnd, WorkerEndKind, WorkerLists,
 };
 use laurelstile_core::leased::agent::{OrderAnswer, OrderKind};
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::task::{RunId, RunNumber, TaskId};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_history::leased::{Life, Promptness, RunEnd, Seen, TaskName};
 
 /// Longest lease, on the worker's clock, in milliseconds.
@@ -193,16 +193,16 @@
     }
 
     /// The name of its present life.
-    pub fn life_name(&self) -> LifeName {
-        LifeName {
+    pub fn worker_incarnation(&self) -> WorkerIncarnation {
+        WorkerIncarnation {
             id: self.id.as_str().into(),
-            born: self.tells_birth.then(|| self.born()),
+            started_at: self.tells_birth.then(|| self.started_at()),
         }
     }
 
     /// When its process started.
-    pub fn born(&self) -> Born {
-        Born(UNIX_MILLIS + self.counts_from / 1_000)
+    pub fn started_at(&self) -> StartTime {
+        StartTime(UNIX_MILLIS + self.counts_from / 1_000)
     }
 
     /// Number of a heartbeat that it sends now.
--- a/laurelstile-sim/src/leased/world/callers.rs
+++ b/laurelstile-sim/src/leased/world/callers.rs
@@ -4,7 +4,7 @@
 
 use laurelstile_core::leased::gateway::job::{CallNumber, JobRequest, StepRequest};
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent};
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
 use laurelstile_core::leased::task::JobId;
 use laurelstile_history::leased::{Seen, Told};
 use laurelstile_types::time::Span;
--- a/laurelstile-sim/src/leased/world/heartbeats.rs
+++ b/laurelstile-sim/src/leased/world/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::agent::worker::Registration;
-use laurelstile_core::leased::life_name::Born;
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::worker_incarnation::StartTime;
 use laurelstile_history::leased::Seen;
 
 use super::super::faults::{OtherWord, Sabotage};
@@ -39,7 +39,7 @@
             state.capacity
         };
         Registration {
-            life: state.life_name(),
+            life: state.worker_incarnation(),
             service: nodes::SERVICE.into(),
             capacity: Room {
                 cpu_millis: capacity,
@@ -62,11 +62,11 @@
         registration.capacity.cpu_millis /= 8;
         registration.draining = true;
         match word {
-            OtherWord::NoBirth => registration.life.born = None,
+            OtherWord::NoBirth => registration.life.started_at = None,
             OtherWord::Service => registration.service = "nowhere".into(),
             OtherWord::Birth => {
-                let born = registration.life.born.unwrap_or(Born(0));
-                registration.life.born = Some(Born(born.0 + 1));
+                let started_at = registration.life.started_at.unwrap_or(StartTime(0));
+                registration.life.started_at = Some(StartTime(started_at.0 + 1));
             }
             OtherWord::Id => registration.life.id = "other".into(),
         }
--- a/laurelstile-sim/src/leased/world/leaving.rs
+++ b/laurelstile-sim/src/leased/world/leaving.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.deregistering[worker] = Some(life);
-        let life = self.workers[worker].life_name();
+        let life = self.workers[worker].worker_incarnation();
         let event = if self.sabotage == Some(Sabotage::DeregistrationIsEnd) {
             let answer: Result<WatchAnswer, _> = Err(OrderFailure::LifeOver);
             AgentEvent::Watched { life, answer }
--- a/laurelstile-sim/src/leased/world/mod.rs
+++ b/laurelstile-sim/src/leased/world/mod.rs
@@ -17,9 +17,9 @@
 use laurelstile_core::leased::gateway::job::{CallNumber, JobRequest};
 use laurelstile_core::leased::gateway::{GatewayEvent, LeasedGateway};
 use laurelstile_core::leased::input::JobInput;
-use laurelstile_core::leased::life_name::LifeName;
 use laurelstile_core::leased::messages::{FromAgent, FromAgentBody, ToAgent, ToAgentBody, ToPeer};
 use laurelstile_core::leased::task::TaskId;
+use laurelstile_core::leased::worker_incarnation::WorkerIncarnation;
 use laurelstile_core::session::SessionId;
 use laurelstile_history::leased::{Life, Record, Seen};
 use laurelstile_types::id::Incarnation;
@@ -150,7 +150,7 @@
     /// The agent's incarnation.
     pub agent: Incarnation,
     /// The life that it asked.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
 }
 
 /// The world.
--- a/laurelstiled/tests/recall.rs
+++ b/laurelstiled/tests/recall.rs
@@ -6,8 +6,8 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::agent::worker::{FenceToken, KnownLife, Registration, WorkerClock};
-use laurelstile_core::leased::life_name::{Born, LifeName};
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstiled::leased::input::AgentInput;
 use laurelstiled::leased::ports::{Listing, Record, RecordStore, Replaced, StoreError};
 use laurelstiled::leased::recall::{RecordKeeper, keep, recall};
@@ -111,16 +111,16 @@
 }
 
 /// A life of the worker, which keeps its id.
-fn life(born: u64) -> LifeName {
-    LifeName {
+fn life(started_at: u64) -> WorkerIncarnation {
+    WorkerIncarnation {
         id: "worker-1".into(),
-        born: Some(Born(born)),
+        started_at: Some(StartTime(started_at)),
     }
 }
 
-fn known(born: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> KnownLife {
+fn known(started_at: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> KnownLife {
     let registration = Registration {
-        life: life(born),
+        life: life(started_at),
         service: "parcels".into(),
         capacity: Room {
             cpu_millis,
