--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -7,7 +7,7 @@
 
 use super::super::input::JobInput;
 use super::super::messages::{EndKind, FromAgent, Member, ToAgent};
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
 use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
 use super::proof::EndProof;
@@ -352,9 +352,9 @@
         /// The life.
         life: WorkerIncarnation,
         /// The room before.
-        before: Room,
+        before: Resources,
         /// The room now.
-        now: Room,
+        now: Resources,
     },
     /// The worker drains.
     Draining {
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -8,7 +8,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::{RunId, RunNumber, TaskId};
 use super::super::timing::STOP_AT_MOST;
 use super::life::LifeNumber;
@@ -69,7 +69,7 @@
     /// The gateway that it is for.
     pub owner: Incarnation,
     /// What it needs.
-    pub resources: Room,
+    pub resources: Resources,
     /// A rough guess of how long it takes.
     pub estimate: Span,
     /// Input of its job.
@@ -134,8 +134,8 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: BTreeMap<TaskId, Run>,
-    taken: Room,
-    waiting_room: Room,
+    taken: Resources,
+    waiting_room: Resources,
     waiting: usize,
     alone: usize,
 }
@@ -232,12 +232,12 @@
     }
 
     /// Room that runs take at the worker.
-    pub fn taken(&self) -> Room {
+    pub fn taken(&self) -> Resources {
         self.taken
     }
 
     /// Room that waiting runs will take.
-    pub fn waiting_room(&self) -> Room {
+    pub fn waiting_room(&self) -> Resources {
         self.waiting_room
     }
 
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -5,7 +5,7 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
 use super::super::worker_incarnation::WorkerIncarnation;
 use super::deregistration::Deregistration;
@@ -34,9 +34,9 @@
     /// When a heartbeat last named it.
     pub service_heard: Timestamp,
     /// Its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// The least that it has been.
-    pub least_capacity: Room,
+    pub least_capacity: Resources,
     /// Whether that is less than what it said first.
     pub has_shrunk: bool,
     /// Number of the latest heartbeat.
@@ -198,7 +198,7 @@
     }
 
     /// All the room of the worker; none while no life of it is known.
-    pub(super) fn capacity(&self) -> Room {
+    pub(super) fn capacity(&self) -> Resources {
         let life = self.life.as_ref();
         life.map(|life| life.capacity).unwrap_or_default()
     }
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -33,7 +33,7 @@
 
 use super::evacuation::Evacuations;
 use super::messages::{EndKind, NotStartedReason};
-use super::resources::Room;
+use super::resources::Resources;
 use super::task::{RunId, TaskId};
 use crate::session::SessionId;
 use crash_memory::CrashMemory;
@@ -171,7 +171,7 @@
     }
 
     /// Room that runs take at the worker.
-    pub fn taken_room(&self) -> Room {
+    pub fn taken_room(&self) -> Resources {
         self.ledger.taken()
     }
 
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -9,7 +9,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::messages::{Announcement, UNLIMITED};
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
@@ -32,11 +32,11 @@
     }
 
     /// Room that is held for gateways.
-    pub(super) fn offered_room(&self) -> Room {
+    pub(super) fn offered_room(&self) -> Resources {
         self.owners
             .values()
             .map(Owner::offered_room)
-            .fold(Room::default(), Room::plus)
+            .fold(Resources::default(), Resources::saturating_add)
     }
 
     /// Offers free room to the gateways that wait for it, the best rank first.
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -155,7 +155,7 @@
             free: if is_available {
                 self.free_room()
             } else {
-                super::Room::default()
+                super::Resources::default()
             },
             limit: if is_available {
                 self.limit_left(now)
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::messages::{Announcement, EndKind, Offer, Report, TaskEnd};
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::{JobId, RunId};
 use super::super::timing::OWNER_SILENCE;
 use crate::session::SessionId;
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncedStep {
     /// What each needs.
-    pub resources: Room,
+    pub resources: Resources,
     /// How many wait, less those for which room was offered.
     pub count: u32,
     /// Rank; the lowest goes first.
@@ -166,7 +166,7 @@
     }
 
     /// Holds `room` for `tasks` tasks of a step until `until`.
-    pub fn offer(&mut self, key: StepKey, resources: Room, tasks: u32, until: Timestamp) {
+    pub fn offer(&mut self, key: StepKey, resources: Resources, tasks: u32, until: Timestamp) {
         if let Some(step) = self.announced.get_mut(&key) {
             step.count = step.count.saturating_sub(tasks);
         }
@@ -203,11 +203,11 @@
     }
 
     /// Room that is held for it.
-    pub fn offered_room(&self) -> Room {
+    pub fn offered_room(&self) -> Resources {
         self.offers
             .iter()
             .map(|pending| pending.offer.resources)
-            .fold(Room::default(), Room::plus)
+            .fold(Resources::default(), Resources::saturating_add)
     }
 
     /// The offers that were not sent yet.
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -117,7 +117,7 @@
     }
 
     /// Room that is neither taken nor spoken for.
-    pub(super) fn free_room(&self) -> super::Room {
+    pub(super) fn free_room(&self) -> super::Resources {
         self.capacity()
             .saturating_sub(self.ledger.taken())
             .saturating_sub(self.ledger.waiting_room())
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -5,7 +5,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
 use super::super::worker_incarnation::WorkerIncarnation;
 
@@ -38,7 +38,7 @@
     /// The service that it serves.
     pub service: String,
     /// Its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<String>,
     /// Its clock.
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::{JobId, RunNumber, TaskId};
 use super::queues::QueueSettings;
 use super::run_times::RunTimes;
@@ -40,7 +40,7 @@
     /// Number of tasks.
     pub count: u32,
     /// What each needs.
-    pub resources: Room,
+    pub resources: Resources,
     /// A rough guess of how long each takes.
     pub estimate: Span,
     /// Steps that must be done before.
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -17,7 +17,7 @@
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{StartBatch, ToAgentBody};
-use crate::leased::resources::Room;
+use crate::leased::resources::Resources;
 use crate::leased::task::{JobId, RunNumber};
 
 /// What a worker of another zone costs more, in microseconds of run time.
@@ -39,7 +39,7 @@
     /// Whether the queue is contained: it has other workers than the rest of its service.
     is_contained: bool,
     label: Option<String>,
-    resources: Room,
+    resources: Resources,
 }
 
 impl Shortage {
@@ -249,7 +249,7 @@
         let request = &job.steps[step].request;
         let count = u32::try_from(tasks.len()).unwrap_or(u32::MAX);
         let reported = if candidate.offer.is_some() {
-            Room::default()
+            Resources::default()
         } else {
             request.resources.multiplied_by(count)
         };
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -6,7 +6,7 @@
 
 use super::super::evacuation::Evacuations;
 use super::super::messages::{Offer, Report, Snapshot};
-use super::super::resources::Room;
+use super::super::resources::Resources;
 use super::super::task::{JobId, RunNumber, TaskId};
 use super::super::timing::{BUSY_HEARTBEAT, BUSY_SUSPICION, IDLE_SUSPICION, LAPSE_AFTER_SILENCE};
 use super::job::StepRequest;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Unreported {
     number: u64,
-    resources: Room,
+    resources: Resources,
     tasks: u32,
 }
 
@@ -70,7 +70,7 @@
             snapshot: None,
             report: Report {
                 processed: 0,
-                free: Room::default(),
+                free: Resources::default(),
                 limit: 0,
                 pace_percent: 100,
             },
@@ -156,7 +156,7 @@
 
     /// Number of the next batch, which has `tasks` tasks that take `room` together of
     /// what was reported as free.
-    pub fn next_batch(&mut self, resources: Room, tasks: u32) -> u64 {
+    pub fn next_batch(&mut self, resources: Resources, tasks: u32) -> u64 {
         self.batches += 1;
         self.unreported.push_back(Unreported {
             number: self.batches,
@@ -167,7 +167,7 @@
     }
 
     /// Room that is free, as far as this gateway knows.
-    pub fn free_room(&self) -> Room {
+    pub fn free_room(&self) -> Resources {
         self.unreported
             .iter()
             .fold(self.report.free, |free, batch| {
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -11,7 +11,7 @@
 use super::gateway::queues::QueueConfiguration;
 use super::input::JobInput;
 use super::membership::digest::{Digest, PartDigests};
-use super::resources::Room;
+use super::resources::Resources;
 use super::serde_defaults::is_false;
 use super::task::{JobId, RunNumber, TaskId};
 
@@ -84,7 +84,7 @@
     pub step: u32,
     /// What each task needs.
     #[serde(rename = "o")]
-    pub resources: Room,
+    pub resources: Resources,
     /// Number of tasks; 0 if none waits any more.
     #[serde(rename = "k")]
     pub count: u32,
@@ -102,7 +102,7 @@
         Self {
             job,
             step,
-            resources: Room::default(),
+            resources: Resources::default(),
             count: 0,
             rank: 0,
             lasts_millis: 0,
@@ -118,7 +118,7 @@
     pub number: u64,
     /// The room.
     #[serde(rename = "o")]
-    pub resources: Room,
+    pub resources: Resources,
 }
 
 /// Tasks of one step of a job, for one worker.
@@ -138,7 +138,7 @@
     pub input: JobInput,
     /// What each task needs.
     #[serde(rename = "o")]
-    pub resources: Room,
+    pub resources: Resources,
     /// A rough guess of how long each task takes, in milliseconds.
     #[serde(rename = "d")]
     pub estimate_millis: u32,
@@ -230,7 +230,7 @@
     /// Zone of the worker.
     pub zone: String,
     /// All the room that the worker has.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Labels of the worker.
     pub labels: Vec<String>,
     /// The gateway's tasks that are here and have not ended.
@@ -245,7 +245,7 @@
     pub processed: u64,
     /// Room that is neither taken nor spoken for.
     #[serde(rename = "f")]
-    pub free: Room,
+    pub free: Resources,
     /// Most tasks that the worker may be given now.
     #[serde(
         rename = "l",
--- a/laurelstile-core/src/leased/resources.rs
+++ b/laurelstile-core/src/leased/resources.rs
@@ -4,7 +4,7 @@
 
 /// An amount of processor, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Processor, in thousandths of a core.
     #[serde(rename = "c")]
     pub cpu_millis: u32,
@@ -24,7 +24,7 @@
     *amount == 0
 }
 
-impl Room {
+impl Resources {
     /// Whether this much fits into `free`.
     pub fn fits_in(self, free: Self) -> bool {
         self.cpu_millis <= free.cpu_millis
--- a/laurelstile-core/tests/leased_messages.rs
+++ b/laurelstile-core/tests/leased_messages.rs
@@ -7,7 +7,7 @@
 use laurelstile_core::leased::messages::{
     EndKind, FromAgent, FromAgentBody, Report, StartBatch, TaskEnd, ToAgent, ToAgentBody, UNLIMITED,
 };
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunNumber, TaskId};
 use laurelstile_types::time::Timestamp;
 use proptest::prelude::{Strategy, any, prop, proptest};
@@ -28,8 +28,8 @@
     ciborium::from_reader(bytes).expect("what was encoded can be decoded")
 }
 
-fn resources(cpu_millis: u32) -> Room {
-    Room {
+fn resources(cpu_millis: u32) -> Resources {
+    Resources {
         cpu_millis,
         memory_mib: 30_000,
         gpus: 0,
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -7,7 +7,7 @@
 use laurelstile_core::leased::messages::{
     Announcement, EndKind, FromAgentBody, Offer, ToAgentBody,
 };
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::JobId;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
@@ -152,7 +152,7 @@
     }
 }
 
-fn offer(rig: &mut GatewayRig, now: Timestamp, number: u64, resources: Room) {
+fn offer(rig: &mut GatewayRig, now: Timestamp, number: u64, resources: Resources) {
     rig.offer(now, 1, Offer { number, resources });
 }
 
--- a/laurelstile-core/tests/leased_queues.rs
+++ b/laurelstile-core/tests/leased_queues.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use laurelstile_core::leased::gateway::queues::{QueueConfiguration, QueueSettings};
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, TaskId};
 use laurelstile_types::time::Span;
 use rstest::rstest;
@@ -82,7 +82,7 @@
 #[case(4, 2, 2)]
 #[case(1, 2, 0)]
 fn room_is_counted_in_whole_tasks(#[case] free: u32, #[case] need: u32, #[case] times: u32) {
-    let resources = |gpus| Room {
+    let resources = |gpus| Resources {
         cpu_millis: 0,
         memory_mib: 0,
         gpus,
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -14,7 +14,7 @@
 use laurelstile_core::leased::messages::{
     EndKind, FromAgent, FromAgentBody, Offer, Report, StartBatch, ToAgent, ToAgentBody,
 };
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
 use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_core::session::SessionId;
@@ -70,7 +70,7 @@
 pub fn registration(
     now: Timestamp,
     life: WorkerIncarnation,
-    capacity: Room,
+    capacity: Resources,
     draining: bool,
 ) -> Registration {
     Registration {
@@ -132,7 +132,7 @@
     }
 
     /// Rooms that a session was offered, in order.
-    pub fn offers(&self, session: SessionId) -> Vec<Room> {
+    pub fn offers(&self, session: SessionId) -> Vec<Resources> {
         self.offers_to(session)
             .map(|offer| offer.resources)
             .collect()
@@ -164,7 +164,7 @@
     }
 
     /// An agent with its worker, of so much room, under control.
-    pub fn in_control(capacity: Room) -> Self {
+    pub fn in_control(capacity: Resources) -> Self {
         let mut rig = Self::new();
         rig.register(at(0), "life-1", capacity, false);
         rig.answer_watch(at(0), WorkerLists::default());
@@ -202,7 +202,7 @@
     }
 
     /// The worker registers or sends a heartbeat.
-    pub fn register(&mut self, now: Timestamp, life: &str, capacity: Room, draining: bool) {
+    pub fn register(&mut self, now: Timestamp, life: &str, capacity: Resources, draining: bool) {
         self.heartbeat(now, registration(now, life.into(), capacity, draining));
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// The record of an earlier agent is read; its clock is old.
-    pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Room) {
+    pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Resources) {
         let registration = Registration {
             life: life.into(),
             service: "parcels".into(),
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -12,7 +12,7 @@
     Announcement, EndKind, FromAgent, FromAgentBody, Member, Offer, Report, Snapshot, StartBatch,
     TaskEnd, ToAgentBody, ToPeer, UNLIMITED,
 };
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{RunNumber, TaskId};
 use laurelstile_core::session::{Remote, SessionId};
 use laurelstile_types::id::Incarnation;
@@ -150,7 +150,7 @@
 
     /// An agent joins with a session of that number and a worker of so much
     /// room.
-    pub fn join(&mut self, now: Timestamp, session: u64, name: &str, capacity: Room) {
+    pub fn join(&mut self, now: Timestamp, session: u64, name: &str, capacity: Resources) {
         self.join_for(now, session, name, "parcels", capacity);
     }
 
@@ -161,7 +161,7 @@
         session: u64,
         name: &str,
         service: &str,
-        capacity: Room,
+        capacity: Resources,
     ) {
         self.join_from(now, session, name, service, "here", capacity);
     }
@@ -174,7 +174,7 @@
         name: &str,
         service: &str,
         zone: &str,
-        capacity: Room,
+        capacity: Resources,
     ) {
         let opened = GatewayEvent::AgentOpened {
             session: SessionId(session),
@@ -207,7 +207,7 @@
         now: Timestamp,
         agent: u64,
         session: u64,
-        capacity: Room,
+        capacity: Resources,
         held: Vec<(TaskId, RunNumber)>,
     ) {
         let opened = GatewayEvent::AgentOpened {
@@ -235,7 +235,7 @@
         now: Timestamp,
         session: u64,
         processed: u64,
-        free: Room,
+        free: Resources,
         body: FromAgentBody,
     ) {
         let message = FromAgent {
@@ -265,7 +265,7 @@
         now: Timestamp,
         session: u64,
         processed: u64,
-        free: Room,
+        free: Resources,
         pace_percent: u32,
     ) {
         let message = FromAgent {
@@ -309,7 +309,7 @@
         now: Timestamp,
         batch: &(SessionId, StartBatch),
         how: EndKind,
-        free: Room,
+        free: Resources,
     ) {
         let (session, batch) = batch;
         let ends = batch
--- a/laurelstile-core/tests/leased_support/mod.rs
+++ b/laurelstile-core/tests/leased_support/mod.rs
@@ -12,7 +12,7 @@
 use laurelstile_core::leased::gateway::StopTimes;
 use laurelstile_core::leased::gateway::job::{JobRequest, StepRequest};
 use laurelstile_core::leased::gateway::queues::{QueueConfiguration, QueueSettings};
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -29,8 +29,8 @@
 }
 
 /// Room of so many thousandths of a core.
-pub const fn cpu(millis: u32) -> Room {
-    Room {
+pub const fn cpu(millis: u32) -> Resources {
+    Resources {
         cpu_millis: millis,
         memory_mib: 0,
         gpus: 0,
--- a/laurelstile-sim/src/fleet/machines.rs
+++ b/laurelstile-sim/src/fleet/machines.rs
@@ -8,7 +8,7 @@
 use laurelstile_core::leased::gateway::{Identity, LeasedGateway, StopTimes};
 use laurelstile_core::leased::membership::subset::Subset;
 use laurelstile_core::leased::messages::Member;
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -184,7 +184,7 @@
     Registration {
         life: format!("worker-{index}").as_str().into(),
         service: SERVICE.into(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: 16_000,
             memory_mib: 32_768,
             gpus: 0,
--- a/laurelstile-sim/src/leased/world/callers.rs
+++ b/laurelstile-sim/src/leased/world/callers.rs
@@ -4,7 +4,7 @@
 
 use laurelstile_core::leased::gateway::job::{CallNumber, JobRequest, StepRequest};
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent};
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::JobId;
 use laurelstile_history::leased::{Seen, Told};
 use laurelstile_types::time::Span;
@@ -43,7 +43,7 @@
             input: self.input.clone(),
             steps: vec![StepRequest {
                 count: job.tasks,
-                room: Room {
+                resources: Resources {
                     cpu_millis: TASK_ROOM,
                     memory_mib: 0,
                     gpus: 0,
--- a/laurelstile-sim/src/leased/world/heartbeats.rs
+++ b/laurelstile-sim/src/leased/world/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::agent::worker::Registration;
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::worker_incarnation::StartTime;
 use laurelstile_history::leased::Seen;
 
@@ -41,7 +41,7 @@
         Registration {
             life: state.worker_incarnation(),
             service: nodes::SERVICE.into(),
-            capacity: Room {
+            capacity: Resources {
                 cpu_millis: capacity,
                 memory_mib: 0,
                 gpus: 0,
--- a/laurelstiled/tests/recall.rs
+++ b/laurelstiled/tests/recall.rs
@@ -6,7 +6,7 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::agent::worker::{FenceToken, KnownLife, Registration, WorkerClock};
-use laurelstile_core::leased::resources::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstiled::leased::input::AgentInput;
 use laurelstiled::leased::ports::{Listing, Record, RecordStore, Replaced, StoreError};
@@ -122,9 +122,9 @@
     let registration = Registration {
         life: life(started_at),
         service: "parcels".into(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis,
-            ..Room::default()
+            ..Resources::default()
         },
         labels: Vec::new(),
         clock: WorkerClock(5),
