--- a/laurelstile-core/src/agent/mod.rs
+++ b/laurelstile-core/src/agent/mod.rs
@@ -22,7 +22,7 @@
 
 /// A start is refused if its sender last heard from the agent longer ago. This
 /// bounds how long a start on its way can be late for a back end that leaves.
-pub const START_FRESHNESS: Span = Span::from_millis(4_500);
+pub const MAX_START_ECHO_AGE: Span = Span::from_millis(4_500);
 /// A session from which nothing comes for this long is closed.
 pub const SESSION_SILENCE: Span = Span::from_secs(25);
 /// Heartbeat interval towards a gateway with unresolved work.
@@ -350,7 +350,7 @@
             StartVerdict::Duplicate => return Some(NotStartedReason::Duplicate),
             StartVerdict::New => {}
         }
-        if now.since(sender.echo) > START_FRESHNESS {
+        if now.since(sender.echo) > MAX_START_ECHO_AGE {
             return Some(NotStartedReason::StaleSender);
         }
         if self.is_draining() {
--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -74,7 +74,7 @@
         let has_crashed = end != LifeEnd::Deregistered && !was_draining;
         if has_crashed && !tasks.is_empty() {
             self.crash_memory.add(WorkerCrash {
-                life: life.to_string(),
+                incarnation: life.to_string(),
                 runs: u32::try_from(tasks.len()).unwrap_or(u32::MAX),
                 tasks,
             });
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -12,7 +12,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::UNLIMITED;
+use super::super::messages::NO_TASK_LIMIT;
 use super::super::task::JobId;
 
 /// Failures in a row that put a worker on probation.
@@ -157,7 +157,7 @@
     /// Most tasks that the worker may have in all, `active` of them now.
     pub fn limit(&self, now: Timestamp, active: usize) -> u32 {
         match self.probation {
-            None => UNLIMITED,
+            None => NO_TASK_LIMIT,
             Some(probation) if now < probation.until => 0,
             Some(_) => u32::from(active == 0),
         }
@@ -176,7 +176,7 @@
         clippy::cast_sign_loss,
         reason = "bounded and positive"
     )]
-    pub fn pace_percent(&self, now: Timestamp) -> u32 {
+    pub fn run_time_percent(&self, now: Timestamp) -> u32 {
         let mut pace = self.pace;
         if pace > SLOW_PACE {
             let periods = now.since(self.sampled).0 / PACE_HALF_LIFE.0;
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::timing::{LEASE, LEASE_AT_MOST, OWNER_SILENCE, STOP_AT_MOST};
+use super::super::timing::{LEASE_DURATION, MAX_LEASE_DURATION, MAX_STOP_TIME, OWNER_TIMEOUT};
 use super::LeasedAgent;
 use super::ledger::{Run, RunState};
 use super::life::Life;
@@ -10,7 +10,7 @@
 
 /// When everything is over at a worker whose lease was last renewed at `renewed`.
 pub fn lease_over_at(renewed: Timestamp) -> Timestamp {
-    renewed.after(Span(LEASE_AT_MOST.0 + STOP_AT_MOST.0 + 1))
+    renewed.after(Span(MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0 + 1))
 }
 
 impl LeasedAgent {
@@ -28,7 +28,7 @@
     ///
     /// A run whose stop is not proved holds it back for all others, since a worker may answer
     /// its watches and none of its stops: its gateway would hold the run for over after
-    /// [`super::super::timing::LAPSE_AFTER_SILENCE`] while the others' renewals kept it alive.
+    /// [`super::super::timing::AGENT_EXPIRY`] while the others' renewals kept it alive.
     /// A stop takes 50 ms of the 700 ms that a lease lasts, so the others notice nothing.
     fn renewable_until(&self) -> Timestamp {
         let runs = self.ledger.iter().map(|(_, run)| run);
@@ -40,7 +40,7 @@
 
     fn answered_for_until(&self, run: &Run) -> Timestamp {
         let owner = self.owners.get(&run.owner);
-        let silent_at = owner.map(|owner| owner.echo.after(OWNER_SILENCE));
+        let silent_at = owner.map(|owner| owner.echo.after(OWNER_TIMEOUT));
         let stopped_at = match run.state {
             RunState::Stopping { since, .. } => Some(since),
             _ => None,
@@ -60,6 +60,6 @@
 impl Life {
     /// End of a lease that is renewed at `now`.
     fn lease_until(&self, now: Timestamp) -> WorkerClock {
-        WorkerClock(self.clock.at_least(now).0 + LEASE.as_millis())
+        WorkerClock(self.clock.at_least(now).0 + LEASE_DURATION.as_millis())
     }
 }
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -10,7 +10,7 @@
 use super::super::input::JobInput;
 use super::super::resources::Resources;
 use super::super::task::{RunId, RunNumber, TaskId};
-use super::super::timing::STOP_AT_MOST;
+use super::super::timing::MAX_STOP_TIME;
 use super::life::LifeNumber;
 use super::worker::WorkerClock;
 
@@ -91,7 +91,7 @@
     /// Whether the log was told that they take longer than a stop may.
     pub is_overdue_told: bool,
     /// Whether the worker is to run nothing beside it.
-    pub is_alone: bool,
+    pub is_exclusive: bool,
     /// Whether its task has stood still on another worker.
     pub has_stalled: bool,
     /// Its progress, in percent.
@@ -124,7 +124,7 @@
     /// Whether it has been stopped for longer than a stop may take.
     pub fn is_stop_overdue(&self, now: Timestamp) -> bool {
         match self.state {
-            RunState::Stopping { since, .. } => now.since(since) > STOP_AT_MOST,
+            RunState::Stopping { since, .. } => now.since(since) > MAX_STOP_TIME,
             _ => false,
         }
     }
@@ -252,7 +252,7 @@
     }
 
     fn count(&mut self, run: &Run, is_added: bool) {
-        let alone = usize::from(run.is_alone);
+        let alone = usize::from(run.is_exclusive);
         self.alone = if is_added {
             self.alone + alone
         } else {
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -8,7 +8,7 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::{Announcement, UNLIMITED};
+use super::super::messages::{Announcement, NO_TASK_LIMIT};
 use super::super::resources::Resources;
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
@@ -46,7 +46,7 @@
                 effects.push(AgentEffect::Decided(AgentDecision::OfferExpired));
             }
         }
-        if !self.is_available(now) || self.limit_left(now) != UNLIMITED {
+        if !self.is_available(now) || self.limit_left(now) != NO_TASK_LIMIT {
             return;
         }
         while let Some((gateway, step, announced)) = self.first_in_rank(now) {
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -6,7 +6,7 @@
 
 use super::super::messages::{FromAgent, FromAgentBody, Report, Snapshot};
 use super::super::task::TaskId;
-use super::super::timing::{BUSY_HEARTBEAT, IDLE_HEARTBEAT, RECENT};
+use super::super::timing::{BUSY_HEARTBEAT_INTERVAL, BUSY_LINGER, IDLE_HEARTBEAT_INTERVAL};
 use super::ledger::{RunState, StopReason};
 use super::owner::Owner;
 use super::{AgentEffect, LeasedAgent};
@@ -91,7 +91,7 @@
             clock: now,
             report: is_new.then_some(report),
             offers,
-            sought: None,
+            candidates: None,
             body,
         };
         effects.push(AgentEffect::Send { session, message });
@@ -127,7 +127,7 @@
             clock: now,
             report: None,
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Crashes(news),
         };
         effects.push(AgentEffect::Send { session, message });
@@ -139,12 +139,14 @@
         gateway: Incarnation,
         owner: &Owner,
     ) -> Span {
-        let is_recent = owner.asked.is_some_and(|asked| now.since(asked) <= RECENT);
+        let is_recent = owner
+            .asked
+            .is_some_and(|asked| now.since(asked) <= BUSY_LINGER);
         let is_busy = is_recent || owner.has_unacknowledged() || self.owns_runs(gateway);
         if is_busy {
-            BUSY_HEARTBEAT
+            BUSY_HEARTBEAT_INTERVAL
         } else {
-            IDLE_HEARTBEAT
+            IDLE_HEARTBEAT_INTERVAL
         }
     }
 
@@ -162,7 +164,7 @@
             } else {
                 0
             },
-            pace_percent: self.health.pace_percent(now),
+            run_time_percent: self.health.run_time_percent(now),
         }
     }
 
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -8,7 +8,7 @@
 use super::super::messages::{Announcement, EndKind, Offer, Report, TaskEnd};
 use super::super::resources::Resources;
 use super::super::task::{JobId, RunId};
-use super::super::timing::OWNER_SILENCE;
+use super::super::timing::OWNER_TIMEOUT;
 use crate::session::SessionId;
 
 /// Ends that are kept for a gateway that does not acknowledge them; above
@@ -152,7 +152,7 @@
             resources: announcement.resources,
             count: announcement.count,
             rank: announcement.rank,
-            until: now.after(Span::from_millis(u64::from(announcement.lasts_millis))),
+            until: now.after(Span::from_millis(u64::from(announcement.ttl_millis))),
         };
         self.announced.insert(key, step);
     }
@@ -304,6 +304,6 @@
 
     /// When it counts as silent.
     pub fn silent_at(&self) -> Timestamp {
-        self.echo.after(OWNER_SILENCE)
+        self.echo.after(OWNER_TIMEOUT)
     }
 }
--- a/laurelstile-core/src/leased/agent/sessions.rs
+++ b/laurelstile-core/src/leased/agent/sessions.rs
@@ -99,7 +99,7 @@
             return;
         };
         owner.echo = owner.echo.max(message.echo);
-        owner.acknowledge(message.seen);
+        owner.acknowledge(message.acknowledged);
         match message.body {
             ToAgentBody::Heartbeat => {}
             ToAgentBody::Start(batch) => self.on_start(now, gateway, message.echo, &batch, effects),
--- a/laurelstile-core/src/leased/agent/silence.rs
+++ b/laurelstile-core/src/leased/agent/silence.rs
@@ -3,7 +3,7 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::timing::BUSY_HEARTBEAT;
+use super::super::timing::BUSY_HEARTBEAT_INTERVAL;
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 use crate::session::SessionId;
 
@@ -84,7 +84,7 @@
     /// When the session to a gateway is closed if nothing comes over it.
     fn session_silent_at(&self, now: Timestamp, gateway: Incarnation) -> Option<Timestamp> {
         let owner = self.owners.get(&gateway)?;
-        let limit = if self.beat_interval(now, gateway, owner) == BUSY_HEARTBEAT {
+        let limit = if self.beat_interval(now, gateway, owner) == BUSY_HEARTBEAT_INTERVAL {
             BUSY_SESSION_SILENCE
         } else {
             IDLE_SESSION_SILENCE
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -6,7 +6,7 @@
 
 use super::super::messages::{EndKind, NotStartedReason, StartBatch};
 use super::super::task::{RunId, TaskId};
-use super::super::timing::START_FRESHNESS;
+use super::super::timing::MAX_START_ECHO_AGE;
 use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::LifeNumber;
@@ -49,7 +49,7 @@
                 resources: batch.resources,
                 estimate: Span::from_millis(u64::from(batch.estimate_millis)),
                 input: batch.input.clone(),
-                wait_until: now.after(Span::from_millis(u64::from(batch.patience_millis))),
+                wait_until: now.after(Span::from_millis(u64::from(batch.max_wait_millis))),
                 sent: now,
                 life: LifeNumber::default(),
                 is_confirmed: false,
@@ -57,7 +57,7 @@
                 stop_again: None,
                 lost_stops: 0,
                 is_overdue_told: false,
-                is_alone: batch.is_alone,
+                is_exclusive: batch.is_exclusive,
                 has_stalled: batch.has_stalled,
                 percent: 0,
                 started: WorkerClock::default(),
@@ -102,13 +102,13 @@
             self.stop_run(now, task, StopReason::OwnerSilent, effects);
             return Some(NotStartedReason::Duplicate);
         }
-        if now.since(echo) > START_FRESHNESS {
+        if now.since(echo) > MAX_START_ECHO_AGE {
             return Some(NotStartedReason::StaleSender);
         }
         if !self.is_available(now) || self.limit_left(now) == 0 {
             return Some(NotStartedReason::Unavailable);
         }
-        if run.is_alone && run.resources.fits_in(self.capacity()) {
+        if run.is_exclusive && run.resources.fits_in(self.capacity()) {
             return None;
         }
         let fits_at_once = run.resources.fits_in(self.free_room());
@@ -156,7 +156,7 @@
         let Some(run) = self.ledger.get(task) else {
             return;
         };
-        let must_wait = run.is_alone && self.ledger.active() > 0;
+        let must_wait = run.is_exclusive && self.ledger.active() > 0;
         if must_wait || !run.resources.fits_in(free) {
             return;
         }
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -5,7 +5,7 @@
 
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
-use super::super::timing::LEASE_AT_MOST;
+use super::super::timing::MAX_LEASE_DURATION;
 use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::{Run, RunState, StopReason};
 use super::proof::EndProof;
@@ -204,7 +204,7 @@
 fn pause_before_stop(run: &Run, now: Timestamp) -> Span {
     if run.lost_stops == 0 {
         Span::default()
-    } else if now.since(run.sent) <= LEASE_AT_MOST {
+    } else if now.since(run.sent) <= MAX_LEASE_DURATION {
         STOP_PAUSE
     } else {
         LONG_STOP_PAUSE
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -8,7 +8,7 @@
 use super::super::crashes::CrashedTask;
 use super::super::messages::EndKind;
 use super::super::task::{RunId, TaskId};
-use super::super::timing::{LEASE_AT_MOST, STOP_AT_MOST};
+use super::super::timing::{MAX_LEASE_DURATION, MAX_STOP_TIME};
 use super::super::worker_incarnation::WorkerIncarnation;
 use super::lease::lease_over_at;
 use super::ledger::{Run, RunState, StopReason};
@@ -372,7 +372,7 @@
             // After its stop was answered a run is never started; without an
             // answer its start is void once the lease in it is over, by the clock of the life
             // for which it was meant.
-            let is_lease_over = asked.since(run.sent).0 > LEASE_AT_MOST.0 + STOP_AT_MOST.0;
+            let is_lease_over = asked.since(run.sent).0 > MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0;
             let is_void = is_lease_over && run.life == present;
             let is_stopped = answered.is_some_and(|answered| answered < asked);
             (is_void || is_stopped).then(|| end_of_stop(reason))
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -165,7 +165,7 @@
 
     /// What the worker's clock reads at `now` at least, however slow it may be. A lease that is
     /// counted from this is over in time: counted from [`Self::at`], with a reading 1 s old, it
-    /// lasted up to 20 ms longer than [`super::super::timing::LEASE_AT_MOST`].
+    /// lasted up to 20 ms longer than [`super::super::timing::MAX_LEASE_DURATION`].
     pub fn at_least(&self, now: Timestamp) -> WorkerClock {
         let since = now.since(self.taken).0 * SLOWEST_CLOCK_PERCENT / 100_000;
         let before = self.taken.since(now).0.div_ceil(1_000);
--- a/laurelstile-core/src/leased/crashes.rs
+++ b/laurelstile-core/src/leased/crashes.rs
@@ -36,7 +36,7 @@
 pub struct WorkerCrash {
     /// The life that ended. Whoever tells of a crash, and however often, it counts once.
     #[serde(rename = "l")]
-    pub life: String,
+    pub incarnation: String,
     /// How many runs it had begun.
     #[serde(rename = "n")]
     pub runs: u32,
@@ -47,11 +47,11 @@
 
 impl WorkerCrash {
     /// The same crash, as told of some of its tasks; none if none of them is among those.
-    pub fn narrowed(&self, is_told: impl Fn(TaskId) -> bool) -> Option<Self> {
+    pub fn restricted_to(&self, is_told: impl Fn(TaskId) -> bool) -> Option<Self> {
         let tasks = self.tasks.iter().filter(|crashed| is_told(crashed.task));
         let tasks: Vec<CrashedTask> = tasks.copied().collect();
         (!tasks.is_empty()).then(|| Self {
-            life: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             runs: self.runs,
             tasks,
         })
@@ -72,7 +72,7 @@
 
 /// How far a task is to be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Suspicion {
     /// No worker has crashed under it.
     Clear,
     /// One worker has. It shares its next one with sound tasks only, so that the crashes of
@@ -90,9 +90,9 @@
 /// A crash under a task.
 #[derive(Clone, Debug)]
 struct Crash {
-    life: Arc<str>,
+    incarnation: Arc<str>,
     is_early: bool,
-    is_alone: bool,
+    is_exclusive: bool,
 }
 
 /// The crashes that are remembered, by the tasks that were there.
@@ -108,24 +108,24 @@
 impl CrashLog {
     /// Whether what seems to be news may have been known and forgotten. It is not passed on
     /// then: it would go round and round.
-    pub fn may_repeat(&self, now: Timestamp) -> bool {
+    pub fn may_have_evicted(&self, now: Timestamp) -> bool {
         self.overran_at.is_some_and(|at| now.since(at) <= MEMORY)
     }
 
     /// Takes a crash in, and gives the tasks for which it is news.
-    pub fn note(&mut self, now: Timestamp, crash: &WorkerCrash) -> Vec<TaskId> {
+    pub fn record(&mut self, now: Timestamp, crash: &WorkerCrash) -> Vec<TaskId> {
         self.forget_old(now);
-        let life: Arc<str> = crash.life.as_str().into();
+        let incarnation: Arc<str> = crash.incarnation.as_str().into();
         let mut news = Vec::new();
         for CrashedTask { task, is_early } in &crash.tasks {
             let crashes = self.crashes.entry(*task).or_default();
-            if crashes.iter().any(|known| known.life == life) {
+            if crashes.iter().any(|known| known.incarnation == incarnation) {
                 continue;
             }
             crashes.push(Crash {
-                life: Arc::clone(&life),
+                incarnation: Arc::clone(&incarnation),
                 is_early: *is_early,
-                is_alone: crash.runs == 1,
+                is_exclusive: crash.runs == 1,
             });
             self.noted.push_back((now, *task));
             news.push(*task);
@@ -134,28 +134,30 @@
     }
 
     /// How far a task is to be trusted.
-    pub fn standing(&self, task: TaskId) -> Standing {
+    pub fn suspicion(&self, task: TaskId) -> Suspicion {
         let Some(crashes) = self.crashes.get(&task) else {
-            return Standing::Clear;
+            return Suspicion::Clear;
         };
         let early = crashes.iter().filter(|crash| crash.is_early).count();
-        let was_alone = crashes.last().is_some_and(|crash| crash.is_alone);
+        let was_alone = crashes.last().is_some_and(|crash| crash.is_exclusive);
         let is_proved = (was_alone && early >= EARLY_CRASHES_ALONE) || early >= EARLY_CRASHES;
         if is_proved || crashes.len() >= MOST_CRASHES {
-            Standing::Poison
+            Suspicion::Poison
         } else if crashes.len() >= CRASHES_OF_A_SUSPECT {
-            Standing::Suspect
+            Suspicion::Suspect
         } else if early > 0 {
-            Standing::OneEarlyCrash
+            Suspicion::OneEarlyCrash
         } else {
-            Standing::OneCrash
+            Suspicion::OneCrash
         }
     }
 
     /// The lives that have ended under a task.
-    pub fn lives_of(&self, task: TaskId) -> Vec<Arc<str>> {
+    pub fn incarnations_of(&self, task: TaskId) -> Vec<Arc<str>> {
         let crashes = self.crashes.get(&task).into_iter().flatten();
-        crashes.map(|crash| Arc::clone(&crash.life)).collect()
+        crashes
+            .map(|crash| Arc::clone(&crash.incarnation))
+            .collect()
     }
 
     /// The tasks of a job under which workers have crashed.
--- a/laurelstile-core/src/leased/evacuation.rs
+++ b/laurelstile-core/src/leased/evacuation.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
     /// Nothing: newer ones are known.
-    Late,
+    Stale,
     /// The revision only.
-    Confirmed,
+    Unchanged,
     /// The zones.
     Changed,
 }
@@ -39,14 +39,14 @@
     /// Takes over what is known as of a later revision; news that come late are ignored.
     pub fn update(&mut self, news: Self) -> Update {
         if news.revision <= self.revision {
-            return Update::Late;
+            return Update::Stale;
         }
         let has_changed = news.zones != self.zones;
         *self = news;
         if has_changed {
             Update::Changed
         } else {
-            Update::Confirmed
+            Update::Unchanged
         }
     }
 }
--- a/laurelstile-core/src/leased/gateway/candidate.rs
+++ b/laurelstile-core/src/leased/gateway/candidate.rs
@@ -16,7 +16,7 @@
     /// The task that goes by itself, if it is one of those.
     pub(super) apart: Option<u32>,
     /// Whether the worker is to run nothing beside it.
-    pub(super) is_alone: bool,
+    pub(super) is_exclusive: bool,
 }
 
 impl Candidate {
@@ -29,7 +29,7 @@
             cost: 0,
             offer: Some(offer),
             apart: None,
-            is_alone: false,
+            is_exclusive: false,
         }
     }
 
@@ -42,7 +42,7 @@
             cost: 0,
             offer: None,
             apart: Some(index),
-            is_alone: true,
+            is_exclusive: true,
         }
     }
 
--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -8,7 +8,7 @@
 
 use super::job::TaskState;
 use super::{Answer, EndSource, GatewayDecision, GatewayEffect, LeasedGateway};
-use crate::leased::crashes::Standing;
+use crate::leased::crashes::Suspicion;
 use crate::leased::messages::{EndKind, NotStartedReason, Snapshot, TaskEnd, ToAgentBody};
 use crate::leased::task::{JobId, RunId, RunNumber, TaskId};
 
@@ -163,7 +163,7 @@
         }
         let step = &mut job.steps[id.step as usize];
         step.waiting.insert(id.index);
-        if has_stalled || self.crashes.standing(id) != Standing::Clear {
+        if has_stalled || self.crashes.suspicion(id) != Suspicion::Clear {
             job.set_apart(id);
         }
         let step = &mut job.steps[id.step as usize];
--- a/laurelstile-core/src/leased/gateway/evacuation.rs
+++ b/laurelstile-core/src/leased/gateway/evacuation.rs
@@ -26,7 +26,7 @@
         news: Evacuations,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        if self.evacuations.update(news) != Update::Late {
+        if self.evacuations.update(news) != Update::Stale {
             self.spread_evacuations(now, effects);
         }
     }
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -328,8 +328,9 @@
             self.start_window.on_report(now, agent, report.processed);
         }
         worker.offers.extend(message.offers);
-        if let Some(sought) = &message.sought {
-            self.membership.on_sought(session, &worker.name, sought);
+        if let Some(candidates) = &message.candidates {
+            self.membership
+                .on_candidates(session, &worker.name, candidates);
         }
         match message.body {
             FromAgentBody::Heartbeat => {}
@@ -340,7 +341,8 @@
             }
             FromAgentBody::Snapshot(snapshot) => {
                 let zone = &snapshot.zone;
-                self.membership.on_zone_told(session, &worker.name, zone);
+                self.membership
+                    .on_zone_reported(session, &worker.name, zone);
                 self.on_snapshot(now, agent, snapshot, effects);
             }
             FromAgentBody::Crashes(crashes) => {
@@ -366,7 +368,7 @@
         worker.note_sent(now);
         let message = ToAgent {
             echo: worker.clock,
-            seen: worker.seen,
+            acknowledged: worker.seen,
             body,
         };
         effects.push(GatewayEffect::ToAgent { session, message });
--- a/laurelstile-core/src/leased/gateway/offers.rs
+++ b/laurelstile-core/src/leased/gateway/offers.rs
@@ -276,7 +276,7 @@
         resources: job.steps[step].request.resources,
         count: u32::try_from(job.steps[step].waiting_count()).unwrap_or(u32::MAX),
         rank,
-        lasts_millis: u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX),
+        ttl_millis: u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX),
     }
 }
 
--- a/laurelstile-core/src/leased/gateway/peers.rs
+++ b/laurelstile-core/src/leased/gateway/peers.rs
@@ -193,12 +193,12 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         match effect {
-            MembershipEffect::TellAgent(session, members) => {
+            MembershipEffect::SendToAgent(session, members) => {
                 if let Some(agent) = self.agent_sessions.get(&session).copied() {
                     self.send(now, agent, ToAgentBody::Members(members), effects);
                 }
             }
-            MembershipEffect::TellPeer(session, message) => {
+            MembershipEffect::SendToPeer(session, message) => {
                 effects.push(GatewayEffect::ToPeer { session, message });
             }
             MembershipEffect::Dial {
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -171,7 +171,7 @@
         self.workers
             .values()
             .filter(|worker| worker.is_usable(now, service))
-            .map(|worker| worker.report.pace_percent)
+            .map(|worker| worker.report.run_time_percent)
             .min()
     }
 
@@ -196,7 +196,7 @@
             return None;
         }
         let snapshot = worker.snapshot.as_ref()?;
-        let pace = u64::from(worker.report.pace_percent);
+        let pace = u64::from(worker.report.run_time_percent);
         let is_far = request
             .near
             .as_ref()
@@ -222,7 +222,7 @@
             cost: run_time + zone + FULLNESS_MICROS * taken / capacity,
             offer: None,
             apart: None,
-            is_alone: false,
+            is_exclusive: false,
         })
     }
 
@@ -253,7 +253,7 @@
         } else {
             request.resources.multiplied_by(count)
         };
-        let patience = if candidate.is_alone {
+        let patience = if candidate.is_exclusive {
             ALONE_PATIENCE
         } else {
             PATIENCE
@@ -262,7 +262,7 @@
         for (index, run) in &tasks {
             let task = task_id(id, step, *index);
             worker.place(task, *run);
-            if candidate.is_alone {
+            if candidate.is_exclusive {
                 worker.alone = Some(task);
             }
         }
@@ -273,10 +273,10 @@
             input: job.input.clone(),
             resources: request.resources,
             estimate_millis: u32::try_from(request.estimate.as_millis()).unwrap_or(u32::MAX),
-            patience_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
+            max_wait_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
             tasks,
             offer: candidate.offer,
-            is_alone: candidate.is_alone,
+            is_exclusive: candidate.is_exclusive,
             has_stalled,
         };
         effects.push(GatewayEffect::Decided(GatewayDecision::Placed {
@@ -303,7 +303,7 @@
     best_pace: u32,
     worker: &Worker,
 ) -> Option<u32> {
-    let pace = worker.report.pace_percent;
+    let pace = worker.report.run_time_percent;
     let run_time = request.estimate.0 * u64::from(pace) / 100;
     let is_slow = run_time > job.objective.0 && pace >= best_pace.saturating_mul(SLOW_FACTOR);
     match (is_slow, worker.is_idle()) {
--- a/laurelstile-core/src/leased/gateway/start_window.rs
+++ b/laurelstile-core/src/leased/gateway/start_window.rs
@@ -15,7 +15,7 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use crate::leased::timing::START_FRESHNESS;
+use crate::leased::timing::MAX_START_ECHO_AGE;
 
 /// Bytes that may always be under way: some six batches, so that a gateway that was
 /// wrong about its link finds out.
@@ -30,7 +30,7 @@
 /// Batches whose shortest delay counts.
 const SAMPLES: usize = 8;
 /// After so long a batch is taken for stale or lost, and counts no more.
-const FORGOTTEN_AFTER: Span = START_FRESHNESS;
+const FORGOTTEN_AFTER: Span = MAX_START_ECHO_AGE;
 /// The smallest part that is left of the bound in one step.
 const LEAST_PART: f64 = 0.5;
 
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -12,7 +12,7 @@
 use super::candidate::Candidate;
 use super::job::{Job, task_id};
 use super::{Answer, GatewayDecision, GatewayEffect, LeasedGateway};
-use crate::leased::crashes::{Standing, WorkerCrash};
+use crate::leased::crashes::{Suspicion, WorkerCrash};
 use crate::leased::messages::ToPeer;
 use crate::leased::task::{JobId, TaskId};
 use crate::session::SessionId;
@@ -39,11 +39,11 @@
     ) -> Vec<WorkerCrash> {
         let mut news = Vec::new();
         for crash in crashes {
-            let tasks = self.crashes.note(now, crash);
+            let tasks = self.crashes.record(now, crash);
             for task in &tasks {
                 self.on_crashed_under(now, *task, effects);
             }
-            news.extend(crash.narrowed(|task| tasks.contains(&task)));
+            news.extend(crash.restricted_to(|task| tasks.contains(&task)));
         }
         news
     }
@@ -57,7 +57,7 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let news = self.on_crashes(now, crashes, effects);
-        if !news.is_empty() && !self.crashes.may_repeat(now) {
+        if !news.is_empty() && !self.crashes.may_have_evicted(now) {
             self.tell_other_peers(source, &ToPeer::Crashes(news), effects);
         }
     }
@@ -72,7 +72,9 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let is_own = |task: TaskId| self.jobs.contains_key(&task.job);
-        let own = crashes.iter().filter_map(|crash| crash.narrowed(is_own));
+        let own = crashes
+            .iter()
+            .filter_map(|crash| crash.restricted_to(is_own));
         let own: Vec<WorkerCrash> = own.collect();
         self.on_crashes(now, crashes, effects);
         if own.is_empty() {
@@ -83,22 +85,22 @@
 
     /// One more worker has crashed under a task.
     fn on_crashed_under(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<GatewayEffect>) {
-        let standing = self.crashes.standing(task);
+        let suspicion = self.crashes.suspicion(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.set_apart(task);
-        if standing >= Standing::Suspect {
+        if suspicion >= Suspicion::Suspect {
             self.note_suspect(now, task, effects);
             effects.push(GatewayEffect::Decided(GatewayDecision::Suspected {
                 task,
-                is_given_up: standing == Standing::Poison,
-                workers: self.crashes.lives_of(task),
+                is_given_up: suspicion == Suspicion::Poison,
+                workers: self.crashes.incarnations_of(task),
             }));
         }
-        match standing {
-            Standing::Poison => self.finish(now, task.job, Answer::Failed, effects),
-            Standing::Suspect if self.suspects_waiting() >= MOST_SUSPECTS_WAITING => {
+        match suspicion {
+            Suspicion::Poison => self.finish(now, task.job, Answer::Failed, effects),
+            Suspicion::Suspect if self.suspects_waiting() >= MOST_SUSPECTS_WAITING => {
                 self.finish(now, task.job, Answer::GivenUp, effects);
             }
             _ => {}
@@ -108,7 +110,7 @@
     /// The task of a job that is not to be started again, if there is one.
     pub(super) fn poison_task_of(&self, job: JobId) -> Option<TaskId> {
         let mut tasks = self.crashes.tasks_of(job);
-        tasks.find(|task| self.crashes.standing(*task) == Standing::Poison)
+        tasks.find(|task| self.crashes.suspicion(*task) == Suspicion::Poison)
     }
 
     /// Sets those tasks of a new job apart under which workers have crashed elsewhere.
@@ -122,7 +124,7 @@
     fn suspects_waiting(&self) -> usize {
         let has_suspect = |job: &&Job| {
             job.waiting_apart()
-                .any(|task| self.crashes.standing(task) == Standing::Suspect)
+                .any(|task| self.crashes.suspicion(task) == Suspicion::Suspect)
         };
         self.jobs.values().filter(has_suspect).count()
     }
@@ -161,11 +163,11 @@
         step: usize,
         index: u32,
     ) -> Option<Candidate> {
-        let standing = self.crashes.standing(task_id(id, step, index));
-        if standing == Standing::Suspect {
+        let suspicion = self.crashes.suspicion(task_id(id, step, index));
+        if suspicion == Suspicion::Suspect {
             return self.worker_alone(now, id, step, index, 0);
         }
-        if standing == Standing::OneEarlyCrash {
+        if suspicion == Suspicion::OneEarlyCrash {
             let idle = self.worker_alone(now, id, step, index, IDLE_PERMILLE);
             if idle.is_some() {
                 return idle;
@@ -183,7 +185,7 @@
         }
         let tasks = self.workers.get(&agent).map(|worker| &worker.tasks);
         let mut tasks = tasks.into_iter().flat_map(|tasks| tasks.keys());
-        tasks.any(|task| self.crashes.standing(*task) != Standing::Clear)
+        tasks.any(|task| self.crashes.suspicion(*task) != Suspicion::Clear)
     }
 
     /// The first task of a step that waits to go by itself beside sound ones.
@@ -191,7 +193,7 @@
         let mut waiting = job.steps[step].apart.iter();
         let may_share = |index: &&u32| {
             let task = task_id(job.id, step, **index);
-            self.crashes.standing(task) != Standing::Suspect
+            self.crashes.suspicion(task) != Suspicion::Suspect
         };
         waiting.find(may_share).copied()
     }
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -8,7 +8,9 @@
 use super::super::messages::{Offer, Report, Snapshot};
 use super::super::resources::Resources;
 use super::super::task::{JobId, RunNumber, TaskId};
-use super::super::timing::{BUSY_HEARTBEAT, BUSY_SUSPICION, IDLE_SUSPICION, LAPSE_AFTER_SILENCE};
+use super::super::timing::{
+    AGENT_EXPIRY, BUSY_HEARTBEAT_INTERVAL, BUSY_SUSPECT_AFTER, IDLE_SUSPECT_AFTER,
+};
 use super::job::StepRequest;
 use crate::session::SessionId;
 
@@ -72,7 +74,7 @@
                 processed: 0,
                 free: Resources::default(),
                 limit: 0,
-                pace_percent: 100,
+                run_time_percent: 100,
             },
             clock: Timestamp::default(),
             echoed: Timestamp::default(),
@@ -194,9 +196,9 @@
     pub fn is_usable(&self, now: Timestamp, service: &str) -> bool {
         let silence = now.since(self.heard);
         let bound = if self.tasks.is_empty() {
-            IDLE_SUSPICION
+            IDLE_SUSPECT_AFTER
         } else {
-            BUSY_SUSPICION
+            BUSY_SUSPECT_AFTER
         };
         self.session.is_some()
             && !self.is_evacuated
@@ -235,12 +237,12 @@
 
     /// Whether its agent is there, whatever its worker does.
     pub fn is_present(&self, now: Timestamp) -> bool {
-        self.session.is_some() && now.since(self.heard) <= IDLE_SUSPICION
+        self.session.is_some() && now.since(self.heard) <= IDLE_SUSPECT_AFTER
     }
 
     /// When its runs are over for certain, if nothing is heard of its agent.
     pub fn lapses_at(&self) -> Timestamp {
-        self.heard.after(Span(LAPSE_AFTER_SILENCE.0 + 1))
+        self.heard.after(Span(AGENT_EXPIRY.0 + 1))
     }
 
     /// Whether it has a label.
@@ -267,7 +269,7 @@
         let pause = if self.awaits_echo {
             Span::default()
         } else {
-            BUSY_HEARTBEAT
+            BUSY_HEARTBEAT_INTERVAL
         };
         owes_answer.then(|| self.last_sent.after(pause))
     }
--- a/laurelstile-core/src/leased/input.rs
+++ b/laurelstile-core/src/leased/input.rs
@@ -17,7 +17,7 @@
 const LEAST_PACKED_BYTES: usize = 128;
 /// Longest input that is taken, in bytes: a packed one may claim to be far longer than
 /// what came. Callers' bodies are limited to a quarter of it.
-pub const MOST_BYTES: usize = 1024 * 1024;
+pub const MAX_INPUT_BYTES: usize = 1024 * 1024;
 
 /// A job's input.
 #[derive(Clone)]
@@ -34,9 +34,9 @@
 pub enum InputError {
     /// It is not a deflated text, or not a whole one.
     #[error("the packed input is garbled")]
-    Garbled,
+    Corrupt,
     /// It would be longer than any input.
-    #[error("the input has over {MOST_BYTES} bytes")]
+    #[error("the input has over {MAX_INPUT_BYTES} bytes")]
     TooLong,
 }
 
@@ -61,9 +61,9 @@
     ///
     /// # Errors
     /// [`InputError`].
-    pub fn unpack(packed: &[u8]) -> Result<Self, InputError> {
+    pub fn decompress(packed: &[u8]) -> Result<Self, InputError> {
         let bytes = inflate(packed)?;
-        let text = String::from_utf8(bytes).map_err(|_| InputError::Garbled)?;
+        let text = String::from_utf8(bytes).map_err(|_| InputError::Corrupt)?;
         Ok(Self::from(text))
     }
 }
@@ -127,7 +127,7 @@
     }
 
     fn visit_bytes<E: Error>(self, packed: &[u8]) -> Result<JobInput, E> {
-        JobInput::unpack(packed).map_err(E::custom)
+        JobInput::decompress(packed).map_err(E::custom)
     }
 }
 
@@ -160,8 +160,8 @@
             let made = bytes.len();
             let status = inflater
                 .decompress_vec(rest, &mut bytes, FlushDecompress::None)
-                .map_err(|_| InputError::Garbled)?;
-            if bytes.len() > MOST_BYTES {
+                .map_err(|_| InputError::Corrupt)?;
+            if bytes.len() > MAX_INPUT_BYTES {
                 return Err(InputError::TooLong);
             }
             if matches!(status, Status::StreamEnd) {
@@ -170,7 +170,7 @@
             let has_space = bytes.len() < bytes.capacity();
             if has_space && bytes.len() == made {
                 // There is nothing to take any more, and still no end.
-                return Err(InputError::Garbled);
+                return Err(InputError::Corrupt);
             }
             bytes.reserve(bytes.len().max(LEAST_PACKED_BYTES));
         }
--- a/laurelstile-core/src/leased/membership/audience.rs
+++ b/laurelstile-core/src/leased/membership/audience.rs
@@ -8,7 +8,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::{Member, Sought};
+use super::super::messages::{CandidateSummary, Member};
 use super::directory::Directory;
 use super::rank::Candidates;
 use crate::session::SessionId;
@@ -69,7 +69,7 @@
         &mut self,
         session: SessionId,
         agent: &str,
-        sought: &Sought,
+        sought: &CandidateSummary,
         directory: &Directory,
     ) {
         let candidates = Candidates::among(agent, &sought.zone, directory.members());
--- a/laurelstile-core/src/leased/membership/mod.rs
+++ b/laurelstile-core/src/leased/membership/mod.rs
@@ -29,7 +29,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::messages::{Introduction, Member, Sought, ToPeer};
+use super::messages::{CandidateSummary, Introduction, Member, ToPeer};
 use crate::session::SessionId;
 use audience::Audience;
 use digest::{Digest, PartDigests};
@@ -90,9 +90,9 @@
 #[derive(Debug)]
 pub enum MembershipEffect {
     /// An agent is to be told of gateways.
-    TellAgent(SessionId, Vec<Member>),
+    SendToAgent(SessionId, Vec<Member>),
     /// A peer is to be sent a message.
-    TellPeer(SessionId, ToPeer),
+    SendToPeer(SessionId, ToPeer),
     /// These are to be dialed until they answer.
     Dial {
         /// The gateways.
@@ -166,7 +166,7 @@
             return None;
         }
         let members = self.directory.members().cloned().collect();
-        Some(MembershipEffect::TellPeer(
+        Some(MembershipEffect::SendToPeer(
             session,
             ToPeer::Members(members),
         ))
@@ -188,7 +188,7 @@
     /// A peer asks for the parts in which its directory differs.
     pub fn on_members_wanted(&self, session: SessionId, parts: &PartDigests) -> MembershipEffect {
         let members = self.directory.differing_from(parts);
-        MembershipEffect::TellPeer(session, ToPeer::Members(members))
+        MembershipEffect::SendToPeer(session, ToPeer::Members(members))
     }
 
     /// A peer names members.
@@ -204,20 +204,20 @@
     }
 
     /// An agent says which gateways it seeks.
-    pub fn on_sought(&mut self, session: SessionId, agent: &str, sought: &Sought) {
+    pub fn on_candidates(&mut self, session: SessionId, agent: &str, sought: &CandidateSummary) {
         self.audience.join(session, agent, sought, &self.directory);
     }
 
     /// An agent tells its zone with what its worker is. One of an earlier build has not said
     /// what it seeks.
-    pub fn on_zone_told(&mut self, session: SessionId, agent: &str, zone: &str) {
+    pub fn on_zone_reported(&mut self, session: SessionId, agent: &str, zone: &str) {
         if !self.audience.has(session) {
-            let sought = Sought {
+            let sought = CandidateSummary {
                 zone: zone.to_owned(),
                 known: 0,
                 count: 0,
             };
-            self.on_sought(session, agent, &sought);
+            self.on_candidates(session, agent, &sought);
         }
     }
 
@@ -241,14 +241,14 @@
         let due = self.exchange.take_due(now, self.directory.digest());
         for session in due.tell {
             let message = ToPeer::Digest(self.directory.digest());
-            effects.push(MembershipEffect::TellPeer(session, message));
+            effects.push(MembershipEffect::SendToPeer(session, message));
         }
         if let Some(session) = due.ask {
             let message = ToPeer::MembersWanted(self.directory.part_digests());
-            effects.push(MembershipEffect::TellPeer(session, message));
+            effects.push(MembershipEffect::SendToPeer(session, message));
         }
         for (session, members) in self.audience.take_news(now) {
-            effects.push(MembershipEffect::TellAgent(session, members));
+            effects.push(MembershipEffect::SendToAgent(session, members));
         }
         effects
     }
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -11,7 +11,7 @@
 
 use laurelstile_types::time::Timestamp;
 
-use super::super::messages::{FromAgent, FromAgentBody, Member, Sought};
+use super::super::messages::{CandidateSummary, FromAgent, FromAgentBody, Member};
 use super::rank::{self, BEYOND_ZONE, Candidates, IN_ZONE, affinity};
 
 /// Up to so many gateways in all there is no choice to be made.
@@ -81,7 +81,7 @@
             clock: now,
             report: None,
             offers: Vec::new(),
-            sought: Some(Sought {
+            candidates: Some(CandidateSummary {
                 zone: self.zone.clone(),
                 known: candidates.digest(),
                 count: candidates.iter().count(),
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -23,7 +23,7 @@
     pub echo: Timestamp,
     /// The highest number of an end that the gateway has taken in.
     #[serde(rename = "s")]
-    pub seen: u64,
+    pub acknowledged: u64,
     /// What it is about.
     #[serde(
         rename = "b",
@@ -93,7 +93,7 @@
     pub rank: u32,
     /// How long the tasks wait at most, in milliseconds.
     #[serde(rename = "w")]
-    pub lasts_millis: u32,
+    pub ttl_millis: u32,
 }
 
 impl Announcement {
@@ -105,7 +105,7 @@
             resources: Resources::default(),
             count: 0,
             rank: 0,
-            lasts_millis: 0,
+            ttl_millis: 0,
         }
     }
 }
@@ -144,7 +144,7 @@
     pub estimate_millis: u32,
     /// How long the tasks may wait for room at the agent, in milliseconds.
     #[serde(rename = "w")]
-    pub patience_millis: u32,
+    pub max_wait_millis: u32,
     /// Index and run of each task.
     #[serde(rename = "k")]
     pub tasks: Vec<(u32, RunNumber)>,
@@ -153,7 +153,7 @@
     pub offer: Option<u64>,
     /// Whether the worker is to run nothing beside it. It is the only task of its batch.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
-    pub is_alone: bool,
+    pub is_exclusive: bool,
     /// Whether its only task has stood still on another worker: if it does so again, that
     /// says nothing of the worker.
     #[serde(rename = "z", default, skip_serializing_if = "is_false")]
@@ -187,7 +187,7 @@
     pub offers: Vec<Offer>,
     /// Which gateways the agent would dial, in the first message of a session.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub sought: Option<Sought>,
+    pub candidates: Option<CandidateSummary>,
     /// What it is about.
     #[serde(
         rename = "b",
@@ -260,18 +260,18 @@
         default = "as_estimated",
         skip_serializing_if = "is_as_estimated"
     )]
-    pub pace_percent: u32,
+    pub run_time_percent: u32,
 }
 
 /// Pace of a worker that takes as long as estimated, in percent.
-pub const AS_ESTIMATED: u32 = 100;
+pub const NOMINAL_RUN_TIME_PERCENT: u32 = 100;
 
 fn unlimited() -> u32 {
-    UNLIMITED
+    NO_TASK_LIMIT
 }
 
 fn as_estimated() -> u32 {
-    AS_ESTIMATED
+    NOMINAL_RUN_TIME_PERCENT
 }
 
 #[expect(
@@ -279,19 +279,19 @@
     reason = "serde passes the field by reference"
 )]
 fn is_unlimited(limit: &u32) -> bool {
-    *limit == UNLIMITED
+    *limit == NO_TASK_LIMIT
 }
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes the field by reference"
 )]
-fn is_as_estimated(pace_percent: &u32) -> bool {
-    *pace_percent == AS_ESTIMATED
+fn is_as_estimated(run_time_percent: &u32) -> bool {
+    *run_time_percent == NOMINAL_RUN_TIME_PERCENT
 }
 
 /// No limit but the room.
-pub const UNLIMITED: u32 = u32::MAX;
+pub const NO_TASK_LIMIT: u32 = u32::MAX;
 
 /// The end of a task at an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -413,7 +413,7 @@
 
 /// What an agent says first on a session: which gateways it would dial.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sought {
+pub struct CandidateSummary {
     /// Zone of the agent.
     #[serde(rename = "z")]
     pub zone: String,
--- a/laurelstile-core/src/leased/redial.rs
+++ b/laurelstile-core/src/leased/redial.rs
@@ -13,19 +13,19 @@
 /// Failures in a row after which pause and limit double, and double again.
 const FAILURES_PER_DOUBLING: u32 = 5;
 /// Longest that a dial may take, with its hello.
-pub const DIAL_LIMIT: Span = Span::from_millis(600);
+pub const DIAL_TIMEOUT: Span = Span::from_millis(600);
 /// Dials in a row without success after which an address is forgotten; it is
 /// dialed again once somebody names it anew.
-pub const DIALS: u32 = 60;
+pub const MAX_DIAL_ATTEMPTS: u32 = 60;
 
 /// Pause after so many failures in a row. Machines that lost power together come
 /// back within less than a second of each other, so the first dials follow closely.
-pub fn redial_pause(failures: u32) -> Span {
+pub fn redial_delay(failures: u32) -> Span {
     doubled(FIRST_REDIAL, failures).min(LONGEST_REDIAL)
 }
 
 /// Longest that the opening of a connection may take after so many failures in a row.
-pub fn connect_limit(failures: u32) -> Span {
+pub fn connect_timeout(failures: u32) -> Span {
     doubled(FIRST_CONNECT_LIMIT, failures).min(LONGEST_CONNECT_LIMIT)
 }
 
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -6,8 +6,8 @@
 use laurelstile_core::leased::agent::worker::{
     OrderFailure, Rejection, WorkerEndKind, WorkerLists,
 };
-use laurelstile_core::leased::messages::{EndKind, NotStartedReason, ToAgentBody, UNLIMITED};
-use laurelstile_core::leased::timing::{OWNER_SILENCE, START_FRESHNESS};
+use laurelstile_core::leased::messages::{EndKind, NO_TASK_LIMIT, NotStartedReason, ToAgentBody};
+use laurelstile_core::leased::timing::{MAX_START_ECHO_AGE, OWNER_TIMEOUT};
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::Span;
@@ -120,7 +120,7 @@
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(101), id, None);
-    let silent = 100 + OWNER_SILENCE.as_millis();
+    let silent = 100 + OWNER_TIMEOUT.as_millis();
     rig.tick(at(silent));
     assert!(rig.take_stops().is_empty());
     rig.tick(at(silent + 1));
@@ -137,7 +137,7 @@
     let id = rig.take_starts()[0];
     rig.answer_start(at(101), id, None);
     rig.message_with_echo(at(540), at(120), ToAgentBody::Heartbeat);
-    rig.tick(at(120 + OWNER_SILENCE.as_millis() + 1));
+    rig.tick(at(120 + OWNER_TIMEOUT.as_millis() + 1));
     assert_eq!(rig.take_stops(), vec![id]);
 }
 
@@ -145,7 +145,7 @@
 fn a_start_with_an_old_echo_is_refused() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
-    let echo = at(1_000 - START_FRESHNESS.as_millis() - 1);
+    let echo = at(1_000 - MAX_START_ECHO_AGE.as_millis() - 1);
     rig.message_with_echo(at(1_000), echo, batch);
     assert!(rig.take_starts().is_empty());
     let how = EndKind::NotStarted(NotStartedReason::StaleSender);
@@ -192,7 +192,7 @@
     rig.answer_start(at(2), id, None);
     rig.register(at(10), "life-2", cpu(1_000), false);
     assert!(rig.ends().is_empty(), "its heartbeat alone proves nothing");
-    rig.end_life(at(11));
+    rig.end_incarnation(at(11));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Lost)]);
     // A late word of the old life changes nothing.
     rig.register(at(12), "life-1", cpu(1_000), false);
@@ -304,7 +304,7 @@
 /// One bad task would else put worker after worker on probation.
 #[rstest]
 #[case::the_first_time(false, 0)]
-#[case::as_on_another_worker(true, UNLIMITED)]
+#[case::as_on_another_worker(true, NO_TASK_LIMIT)]
 fn a_worker_is_not_blamed_for_a_task_that_has_stood_still_elsewhere(
     #[case] has_stalled: bool,
     #[case] limit: u32,
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -101,7 +101,7 @@
         };
         let message = ToAgent {
             echo: at(20),
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         take(&mut machine, 20, AgentEvent::Message { session, message });
--- a/laurelstile-core/tests/leased_configuration.rs
+++ b/laurelstile-core/tests/leased_configuration.rs
@@ -16,7 +16,7 @@
 
 fn hear(rig: &mut GatewayRig, now: Timestamp, peer: u64, message: ToPeer) {
     let session = SessionId(peer);
-    rig.hear_peer(now, session, message);
+    rig.peer_message(now, session, message);
 }
 
 /// The peers that were asked, in order.
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -4,7 +4,7 @@
 
 use laurelstile_core::leased::agent::worker::{OrderFailure, WorkerLists};
 use laurelstile_core::leased::agent::{AgentEvent, Order, OrderKind};
-use laurelstile_core::leased::crashes::{CrashLog, CrashedTask, Standing, WorkerCrash};
+use laurelstile_core::leased::crashes::{CrashLog, CrashedTask, Suspicion, WorkerCrash};
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent, Refusal};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, StartBatch, ToAgentBody, ToPeer};
 use laurelstile_core::session::SessionId;
@@ -22,7 +22,7 @@
         is_early,
     });
     WorkerCrash {
-        life: life.into(),
+        incarnation: life.into(),
         runs,
         tasks: tasks.collect(),
     }
@@ -63,7 +63,7 @@
         is_early: LATE,
     };
     let crash = WorkerCrash {
-        life: format!("life-{}-{}", batch.0.0, now.0),
+        incarnation: format!("life-{}-{}", batch.0.0, now.0),
         runs: 9,
         tasks: vec![crashed],
     };
@@ -97,10 +97,10 @@
     let mut rig = gateway(3);
     rig.submit(at(10), 1, job(1, 1, 100));
     let first = rig.next_start();
-    assert!(!first.1.is_alone);
+    assert!(!first.1.is_exclusive);
     crash_under(&mut rig, at(20), &first, EARLY, 9);
     let second = rig.next_start();
-    assert!(second.1.is_alone, "an idle worker is there");
+    assert!(second.1.is_exclusive, "an idle worker is there");
     crash_under(&mut rig, at(40), &second, EARLY, 1);
     assert_eq!(rig.last_answer(), Some(Answer::Failed));
     assert!(rig.starts.is_empty());
@@ -119,7 +119,10 @@
     for crashes in 1..=most {
         assert!(rig.answers.is_empty(), "given up after {}", crashes - 1);
         let batch = rig.next_start();
-        assert_eq!(batch.1.is_alone && crashes <= 2, is_early && crashes == 2);
+        assert_eq!(
+            batch.1.is_exclusive && crashes <= 2,
+            is_early && crashes == 2
+        );
         crash_under(&mut rig, at(100 * crashes), &batch, is_early, 9);
     }
     assert_eq!(rig.last_answer(), Some(Answer::Failed));
@@ -137,11 +140,11 @@
         }
     }
     let alone = rig.next_start();
-    assert!(alone.1.is_alone);
+    assert!(alone.1.is_exclusive);
     assert_eq!(alone.1.tasks.len(), 1);
     assert!(rig.starts.is_empty(), "the other one waits for its turn");
     rig.end(at(200), &alone, EndKind::Done, cpu(8_000));
-    assert!(rig.next_start().1.is_alone);
+    assert!(rig.next_start().1.is_exclusive);
 }
 
 #[test]
@@ -154,7 +157,10 @@
         tell(&mut rig, at(millis), batch.0, &told);
     }
     rig.end(at(40), &batch, EndKind::Lost, cpu(0));
-    assert!(!rig.next_start().1.is_alone, "one crash is no suspicion");
+    assert!(
+        !rig.next_start().1.is_exclusive,
+        "one crash is no suspicion"
+    );
 }
 
 /// A caller whose gateway was lost hands in again, at one that has not placed the job.
@@ -166,7 +172,7 @@
     #[case] crashes: &[bool],
     #[case] runs: u32,
     #[case] answer: Option<Answer>,
-    #[case] is_alone: bool,
+    #[case] is_exclusive: bool,
 ) {
     let mut rig = gateway(4);
     let session = SessionId(50);
@@ -176,12 +182,12 @@
         .zip(1..)
         .map(|(is_early, number)| crash(&format!("life-{number}"), *is_early, runs, &[0]));
     let message = ToPeer::Crashes(told.collect());
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     rig.submit(at(10), 1, job(1, 1, 100));
     assert_eq!(rig.last_answer(), answer);
     assert_eq!(
-        rig.starts.front().is_some_and(|start| start.1.is_alone),
-        is_alone
+        rig.starts.front().is_some_and(|start| start.1.is_exclusive),
+        is_exclusive
     );
 }
 
@@ -263,9 +269,9 @@
 #[test]
 fn an_agent_tells_of_a_crash_before_the_ends_and_which_run_was_young() {
     let mut rig = running(60);
-    rig.end_life(at(70));
+    rig.end_incarnation(at(70));
     let crash = WorkerCrash {
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         runs: 2,
         tasks: vec![
             CrashedTask {
@@ -295,7 +301,7 @@
 fn a_worker_that_has_said_that_it_leaves_has_not_crashed() {
     let mut rig = running(60);
     rig.register(at(65), "life-1", cpu(4_000), true);
-    rig.end_life(at(70));
+    rig.end_incarnation(at(70));
     assert!(crashes_told(&rig, SESSION).0.is_empty());
     let mut rig = running(60);
     rig.event(
@@ -321,14 +327,14 @@
     assert!(crashes_told(&rig, SESSION).0.is_empty());
     if is_replaced {
         rig.register(at(1_300), "life-2", cpu(4_000), false);
-        rig.end_life(at(1_301));
+        rig.end_incarnation(at(1_301));
         let told = crashes_told(&rig, SESSION).0;
         assert_eq!(told.len(), 1);
         assert_eq!(told[0].tasks.len(), 2);
         assert!(told[0].tasks.iter().all(|crashed| !crashed.is_early));
     } else {
         rig.answer_watch(at(1_300), WorkerLists::default());
-        rig.end_life(at(1_400));
+        rig.end_incarnation(at(1_400));
         assert!(
             crashes_told(&rig, SESSION).0.is_empty(),
             "nothing ran there"
@@ -358,7 +364,7 @@
     let mut rig = running(60);
     let mut alone = rig.batch(3, 1, 1_000);
     if let ToAgentBody::Start(batch) = &mut alone {
-        batch.is_alone = true;
+        batch.is_exclusive = true;
     }
     rig.message(at(70), alone);
     assert!(rig.take_starts().is_empty());
@@ -462,12 +468,12 @@
 #[test]
 fn a_crash_is_forgotten_after_a_minute() {
     let mut log = CrashLog::default();
-    log.note(at(0), &crash("life-1", LATE, 9, &[0, 1]));
-    log.note(at(30_000), &crash("life-2", LATE, 9, &[0]));
-    assert_eq!(log.standing(task(1, 0)), Standing::Suspect);
-    log.note(at(61_000), &crash("life-3", LATE, 9, &[2]));
-    assert_eq!(log.standing(task(1, 0)), Standing::OneCrash);
-    assert_eq!(log.standing(task(1, 1)), Standing::Clear);
-    log.note(at(200_000), &crash("life-4", LATE, 9, &[]));
+    log.record(at(0), &crash("life-1", LATE, 9, &[0, 1]));
+    log.record(at(30_000), &crash("life-2", LATE, 9, &[0]));
+    assert_eq!(log.suspicion(task(1, 0)), Suspicion::Suspect);
+    log.record(at(61_000), &crash("life-3", LATE, 9, &[2]));
+    assert_eq!(log.suspicion(task(1, 0)), Suspicion::OneCrash);
+    assert_eq!(log.suspicion(task(1, 1)), Suspicion::Clear);
+    log.record(at(200_000), &crash("life-4", LATE, 9, &[]));
     assert!(log.is_empty());
 }
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -62,7 +62,7 @@
     let session = SessionId(9);
     rig.open_peer(at(0), session);
     let message = ToPeer::Evacuations(evacuations(7, &["here"]));
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     let late = GatewayEvent::Evacuations(evacuations(6, &[]));
     rig.event(at(2), late);
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -90,7 +90,7 @@
     rig.event(at(1), GatewayEvent::Evacuations(evacuations(5, &["here"])));
     rig.evacuations.clear();
     let message = ToPeer::Evacuations(evacuations(9, &["here"]));
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     assert!(rig.evacuations.is_empty());
 }
 
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -10,7 +10,7 @@
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent, Refusal};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, NotStartedReason, ToPeer};
 use laurelstile_core::leased::task::JobId;
-use laurelstile_core::leased::timing::LAPSE_AFTER_SILENCE;
+use laurelstile_core::leased::timing::AGENT_EXPIRY;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::time::Span;
 use leased_support::{GatewayRig, at, configuration, cpu, job, queue, task};
@@ -182,7 +182,7 @@
     rig.join(at(20), 2, "agent-2", cpu(4_000));
     let session = SessionId(1);
     rig.event(at(30), GatewayEvent::AgentClosed { session });
-    let lapse = LAPSE_AFTER_SILENCE.as_millis();
+    let lapse = AGENT_EXPIRY.as_millis();
     // A gateway looks at the time every 500 ms at least.
     rig.tick(at(lapse / 2));
     rig.tick(at(lapse - 5));
@@ -411,7 +411,7 @@
     let message = ToPeer::Cancelled(vec![JobId(1)]);
     let told_at = |rig: &mut GatewayRig, millis| {
         let message = message.clone();
-        rig.hear_peer(at(millis), session, message);
+        rig.peer_message(at(millis), session, message);
     };
     if told < 10 {
         told_at(&mut rig, told);
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -11,8 +11,8 @@
 use laurelstile_core::leased::task::RunNumber;
 use laurelstile_core::leased::worker_incarnation::StartTime;
 use leased_support::{
-    AgentRig, FIRST, SECOND, answers_reborn, at, cpu, in_first_life, life, lists, run, running,
-    task, word,
+    AgentRig, FIRST_START, SECOND_START, answer_restarted, at, cpu, heartbeat_of,
+    in_first_incarnation, incarnation, lists, run, running, task,
 };
 
 /// An order for the life before that is still under way must not be carried out by the next:
@@ -21,9 +21,13 @@
 fn orders_for_the_life_before_are_fenced_off() {
     let mut rig = running();
     let before = rig.last_token();
-    rig.answer_watch_of(at(40), Some(StartTime(SECOND)), Ok(WorkerLists::default()));
+    rig.answer_watch_of(
+        at(40),
+        Some(StartTime(SECOND_START)),
+        Ok(WorkerLists::default()),
+    );
     let next = rig.orders.back().expect("the next life is asked at once");
-    assert_eq!(next.life, life(SECOND));
+    assert_eq!(next.life, incarnation(SECOND_START));
     assert!(Some(next.token.0) > before);
     assert!(!rig.is_available(), "not before it has answered that");
 }
@@ -32,8 +36,8 @@
 #[test]
 fn a_token_that_is_far_too_low_is_soon_high_enough() {
     let mut rig = AgentRig::new();
-    rig.life = life(FIRST);
-    rig.heartbeat(at(0), word(FIRST, 9_000, 4_000, false));
+    rig.incarnation = incarnation(FIRST_START);
+    rig.heartbeat(at(0), heartbeat_of(FIRST_START, 9_000, 4_000, false));
     let seen = rig.last_token().expect("a watch") + 3_600_000;
     let mut rejections = 0;
     while rig.last_token() <= Some(seen) {
@@ -45,7 +49,7 @@
 
 /// A start without an answer, as the worker's process ends: the next life may carry it out.
 fn unanswered() -> AgentRig {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
@@ -59,8 +63,8 @@
 fn a_start_without_an_answer_is_not_repeated_before_the_next_life_was_told_to_leave_it() {
     let mut rig = unanswered();
     assert!(rig.ends().is_empty(), "it may yet be carried out");
-    rig.life = life(SECOND);
-    rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), WorkerLists::default());
     assert_eq!(rig.take_stops(), [run(1, 0)]);
     assert!(rig.ends().is_empty());
@@ -75,8 +79,8 @@
 #[test]
 fn a_start_that_the_next_life_has_carried_out_is_stopped_there() {
     let mut rig = unanswered();
-    rig.life = life(SECOND);
-    rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), lists(&[(run(1, 0), 10)], &[]));
     rig.answer_stop(at(502), run(1, 0), true);
     assert!(rig.ends().is_empty(), "it runs");
@@ -91,7 +95,7 @@
     let mut rig = unanswered();
     rig.register(at(500), "worker-2", cpu(4_000), false);
     assert!(rig.ends().is_empty());
-    rig.life = "worker-2".into();
+    rig.incarnation = "worker-2".into();
     rig.answer_watch(at(501), WorkerLists::default());
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
 }
@@ -99,7 +103,7 @@
 /// Its connection was refused after all: nothing was sent.
 #[test]
 fn a_start_that_was_never_sent_is_lost_at_once() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
@@ -107,7 +111,7 @@
     assert!(rig.ends().is_empty());
     let refused = AgentEvent::StartAnswered {
         run: started,
-        life: life(FIRST),
+        life: incarnation(FIRST_START),
         answer: Err(OrderFailure::Refused),
     };
     rig.event(at(21), refused);
@@ -136,8 +140,8 @@
 fn a_run_that_the_next_life_began_with_an_old_lease_is_stopped() {
     let mut rig = running();
     let shown = lists(&[(run(1, 0), 10)], &[]);
-    rig.heartbeat(at(30), word(SECOND, 1, 4_000, false));
-    answers_reborn(&mut rig, at(31), SECOND, shown);
+    rig.heartbeat(at(30), heartbeat_of(SECOND_START, 1, 4_000, false));
+    answer_restarted(&mut rig, at(31), SECOND_START, shown);
     assert_eq!(
         rig.ends(),
         [(task(1, 1), EndKind::Lost)],
@@ -154,14 +158,14 @@
 /// A start that was rejected by the life before was not carried out by anybody.
 #[test]
 fn a_late_rejection_ends_a_held_start() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
     rig.refuse_watch(at(20));
     let rejected = AgentEvent::StartAnswered {
         run: started,
-        life: life(FIRST),
+        life: incarnation(FIRST_START),
         answer: Ok(OrderAnswer {
             clock: None,
             rejection: Some(Rejection::Full),
@@ -175,7 +179,7 @@
 /// The answer to an earlier run of a task says nothing of the next.
 #[test]
 fn an_answer_to_an_earlier_run_confirms_no_later_one() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     for number in 1..=2 {
         let mut batch = rig.batch(1, 1, 50);
         if let ToAgentBody::Start(batch) = &mut batch {
--- a/laurelstile-core/tests/leased_late_words.rs
+++ b/laurelstile-core/tests/leased_late_words.rs
@@ -9,41 +9,45 @@
 use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_types::time::Span;
 use leased_support::{
-    AgentRig, FIRST, SECOND, SECOND_BY_A_CLOCK_SET_BACK, SESSION, at, cpu, in_first_life, life,
-    lists, registration, returned, run, running, task, word,
+    AgentRig, FIRST_START, SECOND_START, SECOND_START_AFTER_CLOCK_STEP, SESSION, at, cpu,
+    heartbeat_of, in_first_incarnation, incarnation, lists, registration, restarted, run, running,
+    task,
 };
 use rstest::rstest;
 
 /// Its process has not ended after all: it is not ignored for good.
 #[test]
 fn a_worker_that_is_heard_long_after_its_deregistration_is_taken_up_again() {
-    let mut rig = in_first_life();
-    rig.heartbeat(at(100), word(FIRST, 9_100, 4_000, true));
+    let mut rig = in_first_incarnation();
+    rig.heartbeat(at(100), heartbeat_of(FIRST_START, 9_100, 4_000, true));
     rig.deregister(at(200));
     rig.answer_watch(at(201), WorkerLists::default());
-    rig.heartbeat(at(20_000), word(FIRST, 29_000, 4_000, false));
+    rig.heartbeat(at(20_000), heartbeat_of(FIRST_START, 29_000, 4_000, false));
     assert!(rig.take_watches().is_empty());
-    rig.heartbeat(at(31_000), word(FIRST, 40_000, 4_000, false));
+    rig.heartbeat(at(31_000), heartbeat_of(FIRST_START, 40_000, 4_000, false));
     rig.answer_watch(at(31_001), WorkerLists::default());
     assert!(rig.is_available());
 }
 
 #[rstest]
-#[case::of_before(word(FIRST, 9_500, 1_000, true), IgnoredHeartbeat::EndedLife)]
+#[case::of_before(
+    heartbeat_of(FIRST_START, 9_500, 1_000, true),
+    IgnoredHeartbeat::EndedLife
+)]
 #[case::without_birth(
     registration(at(600), "worker-1".into(), cpu(1_000), true),
     IgnoredHeartbeat::NoBirth
 )]
 #[case::of_another_service(
-    Registration { service: "nowhere".into(), ..word(SECOND, 100, 1_000, true) },
+    Registration { service: "nowhere".into(), ..heartbeat_of(SECOND_START, 100, 1_000, true) },
     IgnoredHeartbeat::OtherService
 )]
 fn a_word_of_another_writer_or_of_before_changes_nothing(
-    #[case] word: Registration,
+    #[case] heartbeat_of: Registration,
     #[case] reason: IgnoredHeartbeat,
 ) {
-    let mut rig = returned();
-    rig.heartbeat(at(600), word);
+    let mut rig = restarted();
+    rig.heartbeat(at(600), heartbeat_of);
     assert!(rig.is_available());
     let told = rig.reported_free_cpu(SESSION);
     assert_eq!(told, Some(4_000));
@@ -66,16 +70,22 @@
         interval: Span::from_millis(1_500),
         grace: Span::from_secs(3),
     });
-    rig.life = life(FIRST);
-    rig.heartbeat(at(0), word(FIRST, 9_000, 4_000, false));
+    rig.incarnation = incarnation(FIRST_START);
+    rig.heartbeat(at(0), heartbeat_of(FIRST_START, 9_000, 4_000, false));
     for millis in (100..5_000).step_by(100) {
-        let word = word(FIRST, 9_000 + millis, 4_000, false);
+        let heartbeat_of = heartbeat_of(FIRST_START, 9_000 + millis, 4_000, false);
         let service = if known_at.contains(&millis) {
-            word.service.clone()
+            heartbeat_of.service.clone()
         } else {
             "meadows".into()
         };
-        rig.heartbeat(at(millis), Registration { service, ..word });
+        rig.heartbeat(
+            at(millis),
+            Registration {
+                service,
+                ..heartbeat_of
+            },
+        );
         rig.answer_watch(at(millis), WorkerLists::default());
         rig.message(at(millis), ToAgentBody::Heartbeat);
     }
@@ -93,23 +103,23 @@
 #[test]
 fn a_late_heartbeat_of_a_life_unheard_of_leaves_the_present_one_alone() {
     let mut rig = AgentRig::new();
-    rig.life = life(SECOND);
-    rig.heartbeat(at(0), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(0), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(1), WorkerLists::default());
-    rig.heartbeat(at(50), word(FIRST, 9_000, 1_000, true));
+    rig.heartbeat(at(50), heartbeat_of(FIRST_START, 9_000, 1_000, true));
     assert!(!rig.is_available(), "the worker is asked");
     for millis in [51, 52] {
         rig.answer_watch(at(millis), WorkerLists::default());
     }
     assert!(rig.is_available());
-    rig.heartbeat(at(60), word(FIRST, 8_000, 1_000, true));
+    rig.heartbeat(at(60), heartbeat_of(FIRST_START, 8_000, 1_000, true));
     assert!(rig.is_available(), "it is known now");
 }
 
 /// Lists that do not tell a birth leave the later of the two to be there.
 #[rstest]
-#[case::later(SECOND, 2)]
-#[case::earlier(SECOND_BY_A_CLOCK_SET_BACK, 0)]
+#[case::later(SECOND_START, 2)]
+#[case::earlier(SECOND_START_AFTER_CLOCK_STEP, 0)]
 fn lists_without_a_birth_do_not_hide_a_restart(#[case] started_at: u64, #[case] lost: usize) {
     let mut rig = running();
     rig.answer_watch_of(
@@ -117,7 +127,7 @@
         None,
         Ok(lists(&[(run(1, 0), 10), (run(1, 1), 10)], &[])),
     );
-    rig.heartbeat(at(30), word(started_at, 1, 4_000, false));
+    rig.heartbeat(at(30), heartbeat_of(started_at, 1, 4_000, false));
     rig.answer_watch_of(
         at(40),
         None,
@@ -141,7 +151,7 @@
 /// A deregistration names the id alone. That of the life before may come late.
 #[test]
 fn a_late_deregistration_ends_nothing() {
-    let mut rig = returned();
+    let mut rig = restarted();
     let batch = rig.batch(2, 1, 50);
     rig.message(at(600), batch);
     for started in rig.take_starts() {
@@ -151,7 +161,7 @@
     rig.deregister(at(610));
     assert!(!rig.is_available(), "until the worker tells whose it is");
     assert!(rig.take_stops().is_empty());
-    rig.heartbeat(at(700), word(SECOND, 200, 4_000, false));
+    rig.heartbeat(at(700), heartbeat_of(SECOND_START, 200, 4_000, false));
     assert!(rig.is_available());
     assert_eq!(rig.deregistrations, ["worker-1"]);
     assert_eq!(rig.ends().len(), ends);
@@ -162,7 +172,7 @@
 fn a_deregistration_is_believed_once_the_life_says_that_it_drains() {
     let mut rig = running();
     rig.deregister(at(100));
-    rig.heartbeat(at(200), word(FIRST, 9_200, 4_000, true));
+    rig.heartbeat(at(200), heartbeat_of(FIRST_START, 9_200, 4_000, true));
     assert_eq!(rig.take_stops(), [run(1, 0), run(1, 1)]);
 }
 
@@ -197,12 +207,19 @@
 #[test]
 fn a_life_that_tells_its_birth_follows_one_that_does_not() {
     let mut rig = AgentRig::new();
-    rig.life = "worker-1".into();
+    rig.incarnation = "worker-1".into();
     rig.register(at(0), "worker-1", cpu(1_000), true);
-    rig.heartbeat(at(1), word(FIRST, 9_000, 4_000, false));
-    for asked in [WorkerIncarnation::from("worker-1"), life(FIRST)] {
-        rig.life = asked;
-        rig.answer_watch_of(at(2), Some(StartTime(FIRST)), Ok(WorkerLists::default()));
+    rig.heartbeat(at(1), heartbeat_of(FIRST_START, 9_000, 4_000, false));
+    for asked in [
+        WorkerIncarnation::from("worker-1"),
+        incarnation(FIRST_START),
+    ] {
+        rig.incarnation = asked;
+        rig.answer_watch_of(
+            at(2),
+            Some(StartTime(FIRST_START)),
+            Ok(WorkerLists::default()),
+        );
     }
     assert!(rig.is_available());
 }
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -42,7 +42,7 @@
 fn a_new_life_begins_once_the_worker_says_that_the_old_one_is_over() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
     let order = rig.orders.back().expect("the new life is watched");
     assert_eq!(order.life, "life-2".into());
@@ -53,7 +53,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), true);
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     rig.take_watches();
     assert!(!rig.is_available());
 }
--- a/laurelstile-core/tests/leased_members.rs
+++ b/laurelstile-core/tests/leased_members.rs
@@ -28,7 +28,7 @@
     let session = SessionId(1_000 + number);
     rig.open_peer(now, session);
     let message = ToPeer::Introduction(Introduction::new(&other(number), Digest::default()));
-    rig.hear_peer(now, session, message);
+    rig.peer_message(now, session, message);
 }
 
 fn lose(rig: &mut GatewayRig, now: Timestamp, number: u64) {
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -9,7 +9,7 @@
 use laurelstile_core::leased::membership::digest::Digest;
 use laurelstile_core::leased::membership::directory::Directory;
 use laurelstile_core::leased::membership::page::{Page, record_key};
-use laurelstile_core::leased::messages::{Introduction, Member, Sought, ToPeer};
+use laurelstile_core::leased::messages::{CandidateSummary, Introduction, Member, ToPeer};
 use laurelstile_core::leased::task::JobId;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::time::{Span, Timestamp};
@@ -249,11 +249,11 @@
     rig.open_peer(at(1), session);
     let introduction = Introduction::new(&member(1), Directory::new(member(9)).digest());
     let message = ToPeer::Introduction(introduction);
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     for millis in (10..30_000).step_by(100) {
         rig.tick(at(millis));
         let message = ToPeer::Members(Vec::new());
-        rig.hear_peer(at(millis), session, message);
+        rig.peer_message(at(millis), session, message);
     }
     let asked = rig.to_peers.iter();
     let asked = asked.filter(|(_, message)| matches!(message, ToPeer::MembersWanted(_)));
@@ -270,9 +270,9 @@
         ..Introduction::new(&member(1), Digest::default())
     };
     let message = ToPeer::Introduction(introduction);
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     let message = ToPeer::Members(vec![member(2), member(3)]);
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     rig.pass_time(100, 5_000);
     let is_old =
         |message: &ToPeer| !matches!(message, ToPeer::Digest(_) | ToPeer::MembersWanted(_));
@@ -394,7 +394,7 @@
     let session = SessionId(50);
     rig.open_peer(at(1), session);
     let message = ToPeer::Members((1..40).map(member).collect());
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     rig.join(at(10), 1, "agent-1", cpu(1_000));
     let told = rig.members.pop().expect("it is told").1;
     assert!(told.len() <= 30, "{}", told.len());
@@ -403,7 +403,7 @@
         laurelstile_core::leased::membership::subset::Subset::new("agent-1".into(), "here".into());
     subset.learn(told);
     let first = subset.first_message(at(20));
-    let Some(Sought { zone, .. }) = &first.sought else {
+    let Some(CandidateSummary { zone, .. }) = &first.candidates else {
         panic!("it says what it seeks");
     };
     assert_eq!(zone, "here");
@@ -451,7 +451,7 @@
     }
     rig.to_peers.clear();
     let crash = laurelstile_core::leased::crashes::WorkerCrash {
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         runs: 1,
         tasks: vec![CrashedTask {
             task: task(1, 0),
@@ -461,7 +461,7 @@
     let session = SessionId(51);
     for millis in [2, 3] {
         let message = ToPeer::Crashes(vec![crash.clone()]);
-        rig.hear_peer(at(millis), session, message);
+        rig.peer_message(at(millis), session, message);
     }
     let told = rig.to_peers.iter();
     let told = told.filter(|(_, message)| matches!(message, ToPeer::Crashes(_)));
--- a/laurelstile-core/tests/leased_messages.rs
+++ b/laurelstile-core/tests/leased_messages.rs
@@ -3,9 +3,10 @@
 //! thousand times a second in a large deployment.
 
 use ciborium::value::Value;
-use laurelstile_core::leased::input::{InputError, JobInput, MOST_BYTES};
+use laurelstile_core::leased::input::{InputError, JobInput, MAX_INPUT_BYTES};
 use laurelstile_core::leased::messages::{
-    EndKind, FromAgent, FromAgentBody, Report, StartBatch, TaskEnd, ToAgent, ToAgentBody, UNLIMITED,
+    EndKind, FromAgent, FromAgentBody, NO_TASK_LIMIT, Report, StartBatch, TaskEnd, ToAgent,
+    ToAgentBody,
 };
 use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunNumber, TaskId};
@@ -36,12 +37,12 @@
     }
 }
 
-fn report(limit: u32, pace_percent: u32) -> Report {
+fn report(limit: u32, run_time_percent: u32) -> Report {
     Report {
         processed: 300,
         free: resources(12_000),
         limit,
-        pace_percent,
+        run_time_percent,
     }
 }
 
@@ -50,7 +51,7 @@
         clock: CLOCK,
         report,
         offers: Vec::new(),
-        sought: None,
+        candidates: None,
         body,
     }
 }
@@ -85,7 +86,7 @@
 fn start(input: JobInput) -> ToAgent {
     ToAgent {
         echo: CLOCK,
-        seen: 300,
+        acknowledged: 300,
         body: ToAgentBody::Start(StartBatch {
             number: 300,
             job: JobId(u64::MAX),
@@ -93,10 +94,10 @@
             input,
             resources: resources(3_800),
             estimate_millis: 200,
-            patience_millis: 4,
+            max_wait_millis: 4,
             tasks: vec![(0, RunNumber(1)), (1, RunNumber(1))],
             offer: None,
-            is_alone: false,
+            is_exclusive: false,
             has_stalled: false,
         }),
     }
@@ -106,7 +107,7 @@
 fn heartbeats_hold_little_more_than_clocks() {
     let to_agent = ToAgent {
         echo: CLOCK,
-        seen: 300,
+        acknowledged: 300,
         body: ToAgentBody::Heartbeat,
     };
     assert!(encode(&to_agent).len() <= 13);
@@ -116,7 +117,7 @@
 
 #[test]
 fn a_usual_report_leaves_out_what_is_usual() {
-    let usual = from_agent(Some(report(UNLIMITED, 100)), FromAgentBody::Heartbeat);
+    let usual = from_agent(Some(report(NO_TASK_LIMIT, 100)), FromAgentBody::Heartbeat);
     assert!(encode(&usual).len() <= 32, "{}", encode(&usual).len());
 }
 
@@ -135,12 +136,12 @@
 }
 
 #[rstest]
-#[case::as_estimated(UNLIMITED, 100)]
-#[case::slow(UNLIMITED, 240)]
+#[case::as_estimated(NO_TASK_LIMIT, 100)]
+#[case::slow(NO_TASK_LIMIT, 240)]
 #[case::one_at_a_time(1, 100)]
 #[case::none(0, 100)]
-fn a_report_comes_as_it_was_sent(#[case] limit: u32, #[case] pace_percent: u32) {
-    let sent = report(limit, pace_percent);
+fn a_report_comes_as_it_was_sent(#[case] limit: u32, #[case] run_time_percent: u32) {
+    let sent = report(limit, run_time_percent);
     let message = from_agent(Some(sent), FromAgentBody::Heartbeat);
     let came: FromAgent = decode(&encode(&message));
     assert_eq!(came.report, Some(sent));
@@ -169,7 +170,7 @@
 #[case::short("a ditch".to_owned())]
 #[case::digits(digits(3_000))]
 #[case::words("between the oak and the mill, ".repeat(2_000))]
-#[case::longest("x".repeat(MOST_BYTES))]
+#[case::longest("x".repeat(MAX_INPUT_BYTES))]
 #[case::not_latin("çé—日本".repeat(300))]
 fn an_input_comes_as_it_was_sent(#[case] text: String) {
     let came: ToAgent = decode(&encode(&start(JobInput::from(text.as_str()))));
@@ -187,14 +188,14 @@
     #[test]
     fn no_bytes_are_unpacked_in_vain(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         // Either a text or a typed error, and always an end.
-        let _ = JobInput::unpack(&bytes);
+        let _ = JobInput::decompress(&bytes);
     }
 
     #[test]
     fn what_is_cut_is_no_input(cut in (1_usize..500).prop_map(|cut| cut)) {
         let packed = packed(&digits(1_200));
         let rest = packed.len().saturating_sub(cut);
-        assert_eq!(JobInput::unpack(&packed[..rest]), Err(InputError::Garbled));
+        assert_eq!(JobInput::decompress(&packed[..rest]), Err(InputError::Corrupt));
     }
 }
 
@@ -209,7 +210,7 @@
 
 #[test]
 fn an_input_that_grows_beyond_all_bounds_is_refused() {
-    let packed = packed(&"x".repeat(64 * MOST_BYTES));
-    assert!(packed.len() < MOST_BYTES);
-    assert_eq!(JobInput::unpack(&packed), Err(InputError::TooLong));
+    let packed = packed(&"x".repeat(64 * MAX_INPUT_BYTES));
+    assert!(packed.len() < MAX_INPUT_BYTES);
+    assert_eq!(JobInput::decompress(&packed), Err(InputError::TooLong));
 }
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -25,7 +25,7 @@
         resources: cpu(1_000),
         count,
         rank,
-        lasts_millis: 200,
+        ttl_millis: 200,
     }
 }
 
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -19,7 +19,7 @@
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, ToAgentBody, ToPeer};
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
-use laurelstile_core::leased::timing::{LAPSE_AFTER_SILENCE, OWNER_SILENCE};
+use laurelstile_core::leased::timing::{AGENT_EXPIRY, OWNER_TIMEOUT};
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use leased_support::{AgentRig, GATEWAY, GatewayRig, at, cpu, job, lists, task, worker_clock};
@@ -108,7 +108,7 @@
     let id = "life-2".into();
     rig.event(at(60), AgentEvent::Deregistration { id });
     assert_eq!(rig.deregistrations, ["life-2"]);
-    rig.end_life(at(70));
+    rig.end_incarnation(at(70));
     assert!(rig.take_watches().is_empty(), "there is no life to ask");
 }
 
@@ -155,7 +155,7 @@
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(101), id, None);
-    let silent = 100 + OWNER_SILENCE.as_millis();
+    let silent = 100 + OWNER_TIMEOUT.as_millis();
     for (millis, session) in (300..silent).step_by(50).zip(71..) {
         rig.open(at(millis), SessionId(session), GATEWAY);
         assert!(rig.take_stops().is_empty(), "at {millis} ms");
@@ -180,7 +180,7 @@
     rig.message_from(at(100), session, batch);
     let kept = rig.take_starts()[0];
     rig.answer_start(at(102), kept, None);
-    let lapse = worker_clock(at(100 + LAPSE_AFTER_SILENCE.as_millis()));
+    let lapse = worker_clock(at(100 + AGENT_EXPIRY.as_millis()));
     for millis in (110..2_000).step_by(10) {
         rig.message_from(at(millis), session, ToAgentBody::Heartbeat);
         for stop in rig.take_stops() {
@@ -297,7 +297,7 @@
     rig.join(at(1), 7, "agent-7", cpu(1_000));
     rig.submit(at(1_500), 1, job(1, 1, 200));
     let message = ToPeer::Cancelled(vec![JobId(1)]);
-    rig.hear_peer(at(1_501), session, message);
+    rig.peer_message(at(1_501), session, message);
     rig.tick(at(1_700));
     assert!(rig.starts.is_empty());
     assert_eq!(rig.last_answer(), Some(Answer::Cancelled));
--- a/laurelstile-core/tests/leased_redial.rs
+++ b/laurelstile-core/tests/leased_redial.rs
@@ -1,6 +1,6 @@
 //! How soon an address is dialed again, and how long it may take to answer.
 
-use laurelstile_core::leased::redial::{connect_limit, redial_pause};
+use laurelstile_core::leased::redial::{connect_timeout, redial_delay};
 use laurelstile_types::time::Span;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
 #[case::longest(21, 400)]
 #[case::for_ever(u32::MAX, 400)]
 fn the_first_dials_follow_closely(#[case] failures: u32, #[case] millis: u64) {
-    assert_eq!(redial_pause(failures), Span::from_millis(millis));
+    assert_eq!(redial_delay(failures), Span::from_millis(millis));
 }
 
 /// A dial that meets a machine without power takes its whole limit, so the first
@@ -25,5 +25,5 @@
 #[case::longest(16, 400)]
 #[case::for_ever(u32::MAX, 400)]
 fn a_connection_may_take_longer_after_failures(#[case] failures: u32, #[case] millis: u64) {
-    assert_eq!(connect_limit(failures), Span::from_millis(millis));
+    assert_eq!(connect_timeout(failures), Span::from_millis(millis));
 }
--- a/laurelstile-core/tests/leased_release.rs
+++ b/laurelstile-core/tests/leased_release.rs
@@ -65,7 +65,7 @@
         resources: cpu(1_000),
         count: 1,
         rank: 0,
-        lasts_millis: 200,
+        ttl_millis: 200,
     };
     rig.message_from(at(101), OTHER, ToAgentBody::Announce(vec![waiting]));
     rig.tick(at(110));
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -39,7 +39,7 @@
     /// Ids whose deregistrations were answered, in order.
     pub deregistrations: Vec<String>,
     /// The life of the worker for which orders are answered.
-    pub life: WorkerIncarnation,
+    pub incarnation: WorkerIncarnation,
     /// What the log was told, in order.
     pub decisions: Vec<AgentDecision>,
     /// Whether the machine has stopped.
@@ -105,7 +105,7 @@
             closed: Vec::new(),
             remembered: Vec::new(),
             deregistrations: Vec::new(),
-            life: "life-1".into(),
+            incarnation: "life-1".into(),
             decisions: Vec::new(),
             stopped: false,
             now: Timestamp::default(),
@@ -157,7 +157,7 @@
     pub fn message_from(&mut self, now: Timestamp, session: SessionId, body: ToAgentBody) {
         let message = ToAgent {
             echo: now,
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         self.event(now, AgentEvent::Message { session, message });
@@ -239,7 +239,7 @@
     pub fn message_with_echo(&mut self, now: Timestamp, echo: Timestamp, body: ToAgentBody) {
         let message = ToAgent {
             echo,
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         self.event(
@@ -255,7 +255,7 @@
     pub fn acknowledge_all(&mut self, now: Timestamp) {
         let message = ToAgent {
             echo: now,
-            seen: u64::MAX,
+            acknowledged: u64::MAX,
             body: ToAgentBody::Heartbeat,
         };
         self.event(
@@ -269,7 +269,7 @@
 
     /// A batch of first runs, each of one core for 100 ms, that may wait for
     /// `patience` milliseconds.
-    pub fn batch(&mut self, job: u64, tasks: u32, patience_millis: u32) -> ToAgentBody {
+    pub fn batch(&mut self, job: u64, tasks: u32, max_wait_millis: u32) -> ToAgentBody {
         self.batches += 1;
         ToAgentBody::Start(StartBatch {
             number: self.batches,
@@ -278,10 +278,10 @@
             input: "input".into(),
             resources: cpu(1_000),
             estimate_millis: 100,
-            patience_millis,
+            max_wait_millis,
             tasks: (0..tasks).map(|index| (index, RunNumber(1))).collect(),
             offer: None,
-            is_alone: false,
+            is_exclusive: false,
             has_stalled: false,
         })
     }
@@ -347,7 +347,7 @@
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
@@ -359,7 +359,7 @@
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer: Err(OrderFailure::NoAnswer),
             },
         );
@@ -379,7 +379,7 @@
             now,
             AgentEvent::StopAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
@@ -392,7 +392,7 @@
 
     /// The worker answers the watch that is under way, or rejects it.
     pub fn answer_watch_as(&mut self, now: Timestamp, lists: Result<WorkerLists, Rejection>) {
-        let started_at = self.life.started_at;
+        let started_at = self.incarnation.started_at;
         self.answer_watch_of(now, started_at, lists);
     }
 
@@ -412,7 +412,7 @@
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
@@ -424,7 +424,7 @@
     }
 
     /// The worker, asked by the watch that is under way, answers that its life is over.
-    pub fn end_life(&mut self, now: Timestamp) {
+    pub fn end_incarnation(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::LifeOver);
     }
 
@@ -438,7 +438,7 @@
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer: Err(failure),
             },
         );
@@ -446,7 +446,7 @@
 
     /// The worker says that it ends once it is answered.
     pub fn deregister(&mut self, now: Timestamp) {
-        let id = Arc::clone(&self.life.id);
+        let id = Arc::clone(&self.incarnation.id);
         self.event(now, AgentEvent::Deregistration { id });
     }
 
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -9,8 +9,8 @@
     Answer, GatewayDecision, GatewayEffect, GatewayEvent, Identity, LeasedGateway,
 };
 use laurelstile_core::leased::messages::{
-    Announcement, EndKind, FromAgent, FromAgentBody, Member, Offer, Report, Snapshot, StartBatch,
-    TaskEnd, ToAgentBody, ToPeer, UNLIMITED,
+    Announcement, EndKind, FromAgent, FromAgentBody, Member, NO_TASK_LIMIT, Offer, Report,
+    Snapshot, StartBatch, TaskEnd, ToAgentBody, ToPeer,
 };
 use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{RunNumber, TaskId};
@@ -144,7 +144,7 @@
     }
 
     /// A peer sends a message.
-    pub fn hear_peer(&mut self, now: Timestamp, session: SessionId, message: ToPeer) {
+    pub fn peer_message(&mut self, now: Timestamp, session: SessionId, message: ToPeer) {
         self.event(now, GatewayEvent::PeerMessage { session, message });
     }
 
@@ -243,11 +243,11 @@
             report: Some(Report {
                 processed,
                 free,
-                limit: UNLIMITED,
-                pace_percent: 100,
+                limit: NO_TASK_LIMIT,
+                run_time_percent: 100,
             }),
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body,
         };
         self.event(
@@ -266,18 +266,18 @@
         session: u64,
         processed: u64,
         free: Resources,
-        pace_percent: u32,
+        run_time_percent: u32,
     ) {
         let message = FromAgent {
             clock: now,
             report: Some(Report {
                 processed,
                 free,
-                limit: UNLIMITED,
-                pace_percent,
+                limit: NO_TASK_LIMIT,
+                run_time_percent,
             }),
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(session);
@@ -290,7 +290,7 @@
             clock: now,
             report: None,
             offers: vec![offer],
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(session);
--- a/laurelstile-core/tests/leased_support/mod.rs
+++ b/laurelstile-core/tests/leased_support/mod.rs
@@ -4,7 +4,7 @@
 
 mod agent_rig;
 mod gateway_rig;
-mod returning;
+mod restarting_worker;
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 #[allow(unused_imports, reason = "each test uses a part")]
 pub use gateway_rig::*;
 #[allow(unused_imports, reason = "each test uses a part")]
-pub use returning::*;
+pub use restarting_worker::*;
 
 /// A time, in milliseconds.
 pub const fn at(millis: u64) -> Timestamp {
--- a/laurelstile-core/tests/leased_timing.rs
+++ b/laurelstile-core/tests/leased_timing.rs
@@ -2,18 +2,18 @@
 
 use laurelstile_core::leased::agent::worker::{ClockEstimate, WorkerClock};
 use laurelstile_core::leased::timing::{
-    CALLERS_RETURN, LAPSE_AFTER_SILENCE, LEASE, LEASE_AT_MOST, OVER_AFTER_SILENCE, OWNER_SILENCE,
-    START_FRESHNESS, STOP_AT_MOST,
+    AGENT_EXPIRY, CALLER_RETRY_DELAY, LEASE_DURATION, MAX_LEASE_DURATION, MAX_START_ECHO_AGE,
+    MAX_STOP_TIME, OWNER_TIMEOUT, RUNS_OVER_AFTER,
 };
 use laurelstile_types::time::Timestamp;
 use rstest::rstest;
 
 #[test]
 fn leases_are_over_and_workers_have_killed_before_a_gateway_repeats_or_a_caller_returns() {
-    const { assert!(OVER_AFTER_SILENCE.0 + STOP_AT_MOST.0 <= LAPSE_AFTER_SILENCE.0) }
-    const { assert!(LAPSE_AFTER_SILENCE.0 < CALLERS_RETURN.0) }
+    const { assert!(RUNS_OVER_AFTER.0 + MAX_STOP_TIME.0 <= AGENT_EXPIRY.0) }
+    const { assert!(AGENT_EXPIRY.0 < CALLER_RETRY_DELAY.0) }
     // What starts is answered for.
-    const { assert!(START_FRESHNESS.0 < OWNER_SILENCE.0) }
+    const { assert!(MAX_START_ECHO_AGE.0 < OWNER_TIMEOUT.0) }
 }
 
 /// A lease counts from the agent's estimate of the worker's clock, which runs up to 2% slow.
@@ -27,8 +27,8 @@
     let mut estimate = ClockEstimate::default();
     estimate.update(Timestamp(taken), WorkerClock(clock_at(taken)));
     let renewed = taken + reading_age_millis * 1_000;
-    let until = estimate.at_least(Timestamp(renewed)).0 + LEASE.as_millis();
-    assert!(clock_at(renewed + LEASE_AT_MOST.0) >= until);
+    let until = estimate.at_least(Timestamp(renewed)).0 + LEASE_DURATION.as_millis();
+    assert!(clock_at(renewed + MAX_LEASE_DURATION.0) >= until);
 }
 
 /// What is answered for until a time in the past has a lease that began then.
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -74,7 +74,7 @@
             clock: at(sent),
             report: None,
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(1);
--- a/laurelstile-sim/src/fleet/dials.rs
+++ b/laurelstile-sim/src/fleet/dials.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use laurelstile_core::leased::redial::DIALS;
+use laurelstile_core::leased::redial::MAX_DIAL_ATTEMPTS;
 
 /// How far the dialing of one address has come.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
         let dial = self.dials.get_mut(&machine)?;
         dial.is_open = false;
         dial.failures += 1;
-        if dial.is_released || (dial.failures >= DIALS && !is_seed) {
+        if dial.is_released || (dial.failures >= MAX_DIAL_ATTEMPTS && !is_seed) {
             self.dials.remove(&machine);
             return None;
         }
--- a/laurelstile-sim/src/fleet/links.rs
+++ b/laurelstile-sim/src/fleet/links.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::gateway::GatewayEvent;
-use laurelstile_core::leased::redial::{DIAL_LIMIT, connect_limit, redial_pause};
+use laurelstile_core::leased::redial::{DIAL_TIMEOUT, connect_timeout, redial_delay};
 use laurelstile_core::session::{MessageKind, Remote, SessionId};
 use laurelstile_types::time::Span;
 
@@ -46,11 +46,11 @@
         let failures = dial.failures;
         if !self.machines[target].is_up {
             // The machine is off and says nothing.
-            let over = self.now + connect_limit(failures).0;
+            let over = self.now + connect_timeout(failures).0;
             self.schedule(over, machine, Happening::DialOver(target, attempt));
             return;
         }
-        let over = self.now + DIAL_LIMIT.0;
+        let over = self.now + DIAL_TIMEOUT.0;
         self.schedule(over, machine, Happening::DialOver(target, attempt));
         let connected = self.now + 2 * self.latency(machine, target);
         let life = self.machines[machine].life;
@@ -155,7 +155,7 @@
 
     fn redial(&mut self, machine: usize, target: usize) {
         if let Some(failures) = self.machines[machine].dials.fail(target) {
-            let at = self.now + redial_pause(failures).0;
+            let at = self.now + redial_delay(failures).0;
             self.schedule(at, machine, Happening::Dial(target));
         }
     }
--- a/laurelstile-wire/src/session.rs
+++ b/laurelstile-wire/src/session.rs
@@ -158,7 +158,7 @@
         }
         for message in batch.drain(..) {
             let bytes = encode(&message);
-            traffic::note(Direction::Sent, message.kind(), bytes.len());
+            traffic::record(Direction::Sent, message.kind(), bytes.len());
             if let Err(error) = sink.feed(Message::binary(bytes)).await {
                 return error.into();
             }
@@ -177,7 +177,7 @@
         match stream.next().await {
             Some(Ok(Message::Binary(bytes))) => match decode::<In>(&bytes) {
                 Ok(message) => {
-                    traffic::note(Direction::Received, message.kind(), bytes.len());
+                    traffic::record(Direction::Received, message.kind(), bytes.len());
                     on_message(message);
                 }
                 Err(error) => return error,
--- a/laurelstile-wire/src/traffic.rs
+++ b/laurelstile-wire/src/traffic.rs
@@ -28,7 +28,7 @@
 
 /// Messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct MessageCount {
     /// How many.
     pub messages: u64,
     /// Their bytes, with their frames.
@@ -36,12 +36,12 @@
 }
 
 /// Messages by direction and kind.
-pub type Tallies = BTreeMap<(Direction, &'static str), Tally>;
+pub type MessageCounts = BTreeMap<(Direction, &'static str), MessageCount>;
 
-static SINCE_LAST_TAKEN: Mutex<Tallies> = Mutex::new(BTreeMap::new());
+static SINCE_LAST_TAKEN: Mutex<MessageCounts> = Mutex::new(BTreeMap::new());
 
 /// Counts a message.
-pub fn note(direction: Direction, kind: &'static str, message_bytes: usize) {
+pub fn record(direction: Direction, kind: &'static str, message_bytes: usize) {
     let bytes = message_bytes as u64 + FRAME_BYTES;
     let metric = match direction {
         Direction::Sent => SENT_BYTES,
@@ -55,11 +55,11 @@
 }
 
 /// What was counted since this was last asked.
-pub fn take() -> Tallies {
+pub fn take() -> MessageCounts {
     std::mem::take(&mut *tallies())
 }
 
-fn tallies() -> MutexGuard<'static, Tallies> {
+fn tallies() -> MutexGuard<'static, MessageCounts> {
     // Counts are whole after each change, so a panic elsewhere does not spoil them.
     SINCE_LAST_TAKEN
         .lock()
--- a/laurelstiled/src/leased/sessions.rs
+++ b/laurelstiled/src/leased/sessions.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use laurelstile_core::leased::messages::Member;
-use laurelstile_core::leased::redial::{DIAL_LIMIT, DIALS, connect_limit, redial_pause};
+use laurelstile_core::leased::redial::{
+    DIAL_TIMEOUT, MAX_DIAL_ATTEMPTS, connect_timeout, redial_delay,
+};
 use laurelstile_core::session::Remote;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::Span;
@@ -161,19 +163,19 @@
                 note_end(&error, &self.address.to_string());
             }
             failures += 1;
-            tokio::time::sleep(duration(redial_pause(failures))).await;
+            tokio::time::sleep(duration(redial_delay(failures))).await;
         }
     }
 
     fn is_wanted(&self, failures: u32) -> bool {
-        !self.is_released.load(Ordering::Relaxed) && (self.is_seed || failures < DIALS)
+        !self.is_released.load(Ordering::Relaxed) && (self.is_seed || failures < MAX_DIAL_ATTEMPTS)
     }
 
     async fn open(&self, failures: u32) -> Result<(Socket, Remote), WireError> {
-        let limit = duration(connect_limit(failures));
+        let limit = duration(connect_timeout(failures));
         let role = NodeRole::Gateway;
         let dialing = session::dial_within(limit, self.address, None, &self.local, role);
-        let dialed = tokio::time::timeout(duration(DIAL_LIMIT), dialing).await;
+        let dialed = tokio::time::timeout(duration(DIAL_TIMEOUT), dialing).await;
         dialed.unwrap_or(Err(WireError::Timeout))
     }
 }
--- a/laurelstiled/src/leased/traffic_log.rs
+++ b/laurelstiled/src/leased/traffic_log.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use laurelstile_wire::traffic::{self, Direction, Tallies};
+use laurelstile_wire::traffic::{self, Direction, MessageCounts};
 use tokio::time::MissedTickBehavior;
 
 /// Pause between two lines.
@@ -25,7 +25,7 @@
 }
 
 /// Kind, messages and bytes of one direction: `start:12:4380 stop:1:52`.
-fn line_of(tallies: &Tallies, wanted: Direction) -> String {
+fn line_of(tallies: &MessageCounts, wanted: Direction) -> String {
     let mut line = String::new();
     for ((direction, kind), tally) in tallies {
         if *direction != wanted {
