--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -209,7 +209,7 @@
                 self.adopt(configuration, effects);
             }
             GatewayEvent::Evacuations(news) => self.on_evacuations_read(now, news, effects),
-            GatewayEvent::Listed(page) => self.membership.on_listed(now, page),
+            GatewayEvent::Listed(page) => self.membership.on_list_page(now, page),
             GatewayEvent::Stop => {
                 self.stopping_since.get_or_insert(now);
             }
--- a/laurelstile-core/src/leased/membership/mod.rs
+++ b/laurelstile-core/src/leased/membership/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// A page of the store's list was read.
-    pub fn on_listed(&mut self, now: Timestamp, page: Page) {
+    pub fn on_list_page(&mut self, now: Timestamp, page: Page) {
         self.directory.read_page(now, page);
     }
 
--- a/laurelstile-core/src/leased/membership/page.rs
+++ b/laurelstile-core/src/leased/membership/page.rs
@@ -34,7 +34,7 @@
     }
 
     /// Leaves out what lies from a key on: another page has it.
-    pub fn end_before(&mut self, key: &str) {
+    pub fn truncate_at(&mut self, key: &str) {
         self.members
             .retain(|member| *record_key(&member.name) < *key);
     }
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -56,7 +56,7 @@
     }
 
     /// Gateways were named. A name that was known at another address has moved.
-    pub fn learn(&mut self, members: Vec<Member>) {
+    pub fn add_members(&mut self, members: Vec<Member>) {
         for member in members {
             let has_moved = self
                 .known
@@ -91,7 +91,7 @@
     }
 
     /// A session to the gateway of that name was opened or has ended.
-    pub fn note_session(&mut self, name: &str, is_connected: bool) {
+    pub fn set_connected(&mut self, name: &str, is_connected: bool) {
         if is_connected {
             self.connected.insert(name.to_owned());
         } else {
@@ -112,7 +112,7 @@
 
     /// Whether a session to the gateway of that name is among the `wanted`; one that
     /// nobody has named yet is kept.
-    pub fn keeps(&self, wanted: &[Member], name: &str) -> bool {
+    pub fn should_keep(&self, wanted: &[Member], name: &str) -> bool {
         !self.known.contains_key(name) || wanted.iter().any(|member| member.name == name)
     }
 
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn starts_never_exceed_the_room() {
-    let mut rig = AgentRig::in_control(cpu(3_000));
+    let mut rig = AgentRig::with_worker(cpu(3_000));
     let batch = rig.batch(1, 5, 50);
     rig.message(at(1), batch);
     let started = rig.take_starts();
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_task_that_waits_too_long_comes_back() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let second = rig.batch(2, 1, 4);
@@ -73,11 +73,11 @@
 
 #[test]
 fn a_start_without_an_answer_keeps_its_room_until_its_stop_is_proved() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
-    rig.lose_start(at(70), id);
+    rig.time_out_start(at(70), id);
     assert_eq!(rig.take_stops(), vec![id]);
     // The stop gets no answer either: it is repeated.
     rig.answer_stop(at(140), id, false);
@@ -102,12 +102,12 @@
 
 #[test]
 fn a_start_that_the_list_shows_needs_no_answer() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.answer_watch(at(20), lists(&[(id, 15)], &[]));
-    rig.lose_start(at(70), id);
+    rig.time_out_start(at(70), id);
     assert!(rig.take_stops().is_empty());
     rig.answer_watch(at(100), lists(&[], &[(1, id, WorkerEndKind::Done)]));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Done)]);
@@ -115,7 +115,7 @@
 
 #[test]
 fn runs_of_a_silent_gateway_are_stopped() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
@@ -131,7 +131,7 @@
 /// gateway look alive.
 #[test]
 fn a_message_with_an_old_echo_does_not_renew() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_start_with_an_old_echo_is_refused() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     let echo = at(1_000 - MAX_START_ECHO_AGE.as_millis() - 1);
     rig.message_with_echo(at(1_000), echo, batch);
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_gateway_whose_process_has_ended_has_its_runs_stopped_at_once() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_draining_worker_starts_nothing_more() {
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let id = rig.take_starts()[0];
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_new_life_of_the_worker_ends_the_runs_of_the_old_one() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_worker_that_refuses_connections_is_dead() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -220,13 +220,13 @@
 
 #[test]
 fn a_silent_worker_has_let_its_runs_lapse_after_the_lease() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(1), id, None);
-    rig.lose_watch(at(200));
-    rig.lose_watch(at(400));
+    rig.time_out_watch(at(200));
+    rig.time_out_watch(at(400));
     assert!(rig.take_watches().is_empty(), "not at once again");
     rig.tick(at(420));
     assert_eq!(rig.take_watches(), vec![(0, false)], "no longer renewed");
@@ -240,7 +240,7 @@
 
 #[test]
 fn ends_are_acknowledged_to_the_worker() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -255,7 +255,7 @@
 #[case::late(Rejection::Late, EndKind::NotStarted(NotStartedReason::Refused))]
 #[case::unhealthy(Rejection::Unhealthy, EndKind::NotStarted(NotStartedReason::Refused))]
 fn rejected_starts_come_back(#[case] rejection: Rejection, #[case] how: EndKind) {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -266,7 +266,7 @@
 
 #[test]
 fn a_worker_that_fails_everything_is_left_alone_and_tried_again() {
-    let mut rig = AgentRig::in_control(cpu(8_000));
+    let mut rig = AgentRig::with_worker(cpu(8_000));
     let batch = rig.batch(1, 4, 4);
     rig.message(at(1), batch);
     let started = rig.take_starts();
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_task_that_stands_still_is_given_back() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
@@ -309,7 +309,7 @@
     #[case] has_stalled: bool,
     #[case] limit: u32,
 ) {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let mut batch = rig.batch(1, 1, 4);
     if let ToAgentBody::Start(batch) = &mut batch {
         batch.has_stalled = has_stalled;
@@ -328,7 +328,7 @@
 
 #[test]
 fn a_task_that_is_far_too_slow_is_given_back_with_the_time_it_would_take() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
@@ -349,7 +349,7 @@
 /// own is no reason to stop it while its worker does others at a normal pace.
 #[test]
 fn a_slow_task_is_left_to_run_while_later_ones_are_done_in_good_time() {
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let slow = rig.take_starts()[0];
@@ -373,7 +373,7 @@
 #[test]
 fn the_gateway_whose_task_ended_hears_of_the_room_before_the_others() {
     let other = SessionId(71);
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.open(at(0), other, Incarnation(8));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(10), batch);
@@ -401,7 +401,7 @@
 
 #[test]
 fn the_same_task_of_another_gateway_ends_the_earlier_run_first() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let id = rig.take_starts()[0];
@@ -416,7 +416,7 @@
 
 #[test]
 fn a_planned_stop_waits_for_what_runs() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -436,13 +436,13 @@
 /// nothing ran was never used again.
 #[test]
 fn a_lost_watch_is_repeated_even_when_nothing_runs() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(2), id, None);
     rig.answer_watch(at(50), lists(&[], &[(1, id, WorkerEndKind::Done)]));
-    rig.lose_watch(at(100));
+    rig.time_out_watch(at(100));
     assert_eq!(rig.take_watches(), vec![(1, false)]);
     rig.answer_watch(at(101), WorkerLists::default());
     assert!(rig.is_available());
@@ -488,7 +488,7 @@
 
 #[test]
 fn a_worker_thought_dead_that_registers_again_is_taken_over() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -117,7 +117,7 @@
 
 /// An agent whose worker of four cores runs two tasks of a core each.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 2, 50);
     rig.message(at(10), batch);
     for id in rig.take_starts() {
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -253,7 +253,7 @@
 
 /// An agent whose worker has run task 1/0 since 10 ms, and 1/1 since `second`.
 fn running(second: u64) -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     for (millis, index) in [(10, 0), (second, 1)] {
         let mut batch = rig.batch(1, 1, 50);
         if let ToAgentBody::Start(batch) = &mut batch {
@@ -320,7 +320,7 @@
 fn a_silent_worker_has_crashed_once_another_life_shows(#[case] is_replaced: bool) {
     let mut rig = running(60);
     for millis in [100, 150, 200] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     rig.tick(at(1_200));
     assert_eq!(rig.ends().len(), 2, "lapsed");
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -120,7 +120,7 @@
 /// The gateway that places may not have heard of it: cut off from the store, say.
 #[test]
 fn an_agent_refuses_starts_of_every_gateway_while_any_has_told_it() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     rig.open(at(1), OTHER_SESSION, Incarnation(8));
     let told = ToAgentBody::Evacuations(evacuations(5, &["there", "here"]));
     rig.message_from(at(2), OTHER_SESSION, told);
@@ -143,7 +143,7 @@
 
 #[test]
 fn an_evacuation_ends_what_waits_for_room_and_leaves_what_runs() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -53,7 +53,7 @@
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
-    rig.lose_start(at(35), started);
+    rig.time_out_start(at(35), started);
     rig.take_stops();
     rig.refuse_watch(at(36));
     rig
@@ -125,9 +125,9 @@
     let batch = rig.batch(2, 1, 50);
     rig.message(at(20), batch);
     let started = rig.take_starts()[0];
-    rig.lose_start(at(45), started);
+    rig.time_out_start(at(45), started);
     for millis in [60, 90] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     rig.tick(at(1_000));
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
@@ -188,7 +188,7 @@
         rig.message(at(u64::from(number) * 10), batch);
         let started = rig.take_starts()[0];
         if number == 1 {
-            rig.lose_start(at(12), started);
+            rig.time_out_start(at(12), started);
             rig.answer_stop(at(13), started, true);
             for millis in [14, 15] {
                 rig.answer_watch(at(millis), WorkerLists::default());
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -13,7 +13,7 @@
 
 /// An agent whose worker lives its `life-1` and runs a task.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
@@ -64,7 +64,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
     for millis in [50, 100, 200] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     assert!(rig.ends().is_empty(), "the leases run on");
     rig.tick(at(1_200));
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -401,7 +401,7 @@
 
     let mut subset =
         laurelstile_core::leased::membership::subset::Subset::new("agent-1".into(), "here".into());
-    subset.learn(told);
+    subset.add_members(told);
     let first = subset.first_message(at(20));
     let Some(CandidateSummary { zone, .. }) = &first.candidates else {
         panic!("it says what it seeks");
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -31,7 +31,7 @@
 
 /// An agent whose worker is full with a task of the first of two gateways.
 fn full_agent() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.open(at(0), OTHER, Incarnation(8));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -27,7 +27,7 @@
 
 /// An agent with two cores and a run on each, started at 10 ms.
 fn with_two_runs() -> (AgentRig, Vec<RunId>) {
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     let batch = rig.batch(1, 2, 4);
     rig.message(at(10), batch);
     let runs = rig.take_starts();
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_deregistration_where_nothing_runs_is_answered_at_once() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.deregister(at(50));
     assert_eq!(rig.deregistrations, ["life-1"]);
 }
@@ -91,7 +91,7 @@
 /// A heartbeat that overtakes the deregistration, or is held back by a cut.
 #[test]
 fn a_life_that_has_deregistered_is_given_nothing_by_a_late_heartbeat() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.deregister(at(50));
     rig.register(at(60), "life-1", cpu(1_000), false);
     rig.answer_watch(at(61), WorkerLists::default());
@@ -103,7 +103,7 @@
 /// It came and left while the agent still held another life for the present one.
 #[test]
 fn a_life_that_has_deregistered_does_not_follow_another() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.register(at(50), "life-2", cpu(1_000), false);
     let id = "life-2".into();
     rig.event(at(60), AgentEvent::Deregistration { id });
@@ -124,7 +124,7 @@
     rig.register(at(40), "life-1", cpu(2_000), is_draining);
     rig.refuse_watch(at(50));
     assert_eq!(rig.ends().len(), ends);
-    rig.lose_watch(at(51));
+    rig.time_out_watch(at(51));
     rig.tick(at(900));
     assert_eq!(rig.ends().len(), runs.len(), "its leases are over");
 }
@@ -150,7 +150,7 @@
 /// them, so it holds the agent for silent and places the runs anew.
 #[test]
 fn sessions_that_open_without_a_word_do_not_keep_runs_alive() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
@@ -170,7 +170,7 @@
 #[test]
 fn a_worker_that_answers_no_stop_is_not_kept_alive_beyond_the_lapse() {
     let (other, session) = (Incarnation(8), SessionId(80));
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     rig.open(at(50), session, other);
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
@@ -192,7 +192,7 @@
             let percent = 60 + u32::try_from(millis / 50).expect("a percentage");
             rig.answer_watch(at(millis), lists(&[(left, percent), (kept, percent)], &[]));
         } else {
-            rig.lose_watch(at(millis));
+            rig.time_out_watch(at(millis));
         }
     }
     assert_eq!(rig.machine.run_count(), 0, "both have lapsed");
--- a/laurelstile-core/tests/leased_release.rs
+++ b/laurelstile-core/tests/leased_release.rs
@@ -13,7 +13,7 @@
 const OTHER: SessionId = SessionId(80);
 
 fn rig_with_released_gateway() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.open(at(0), OTHER, Incarnation(8));
     rig.tick(at(50));
     assert_eq!(rig.reported_free_cpu(OTHER), Some(1_000));
--- a/laurelstile-core/tests/leased_silence.rs
+++ b/laurelstile-core/tests/leased_silence.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_busy_session_is_closed_after_a_second_of_silence() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     run(&mut rig, at(10), at(1_000));
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_idle_session_is_closed_after_two_heartbeats_without_an_echo() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     rig.message(at(500), ToAgentBody::Heartbeat);
     run(&mut rig, at(500), at(2_600));
     assert!(rig.closed.is_empty());
@@ -40,7 +40,7 @@
 
 #[test]
 fn an_echo_keeps_a_session_open() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     for millis in (100..6_000).step_by(900) {
         rig.message(at(millis), ToAgentBody::Heartbeat);
         run(&mut rig, at(millis), at(millis + 899));
@@ -51,7 +51,7 @@
 /// What came meanwhile has not been read yet.
 #[test]
 fn an_agent_that_stood_still_listens_first() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     run(&mut rig, at(10), at(100));
--- a/laurelstile-core/tests/leased_subset.rs
+++ b/laurelstile-core/tests/leased_subset.rs
@@ -26,7 +26,7 @@
 fn agent(number: usize, gateways: usize) -> Subset {
     let zone = ZONES[number % ZONES.len()].to_owned();
     let mut subset = Subset::new(format!("agent-{number}"), zone);
-    subset.learn((0..gateways).map(gateway).collect());
+    subset.add_members((0..gateways).map(gateway).collect());
     subset
 }
 
@@ -37,7 +37,7 @@
 
 fn connect_all(subset: &mut Subset, now: Timestamp) {
     for name in names(subset, now) {
-        subset.note_session(&name, true);
+        subset.set_connected(&name, true);
     }
 }
 
@@ -90,7 +90,7 @@
     let mut subset = Subset::new("agent".into(), "lonely".into());
     let mut members: Vec<Member> = (0..50).map(gateway).collect();
     members[0].zone = "lonely".into();
-    subset.learn(members);
+    subset.add_members(members);
     let wanted = subset.wanted(at(0));
     assert_eq!(wanted.len(), 16);
     assert!(wanted.iter().any(|member| member.zone == "lonely"));
@@ -102,12 +102,12 @@
     let before = names(&mut subset, at(0));
     connect_all(&mut subset, at(0));
     let silent = before.first().expect("it wants some").clone();
-    subset.note_session(&silent, false);
+    subset.set_connected(&silent, false);
     assert_eq!(names(&mut subset, at(100)), before, "it may be back soon");
     let with_substitute = names(&mut subset, at(1_000));
     assert_eq!(with_substitute.len(), 17);
     assert!(with_substitute.contains(&silent), "it is still dialed");
-    subset.note_session(&silent, true);
+    subset.set_connected(&silent, true);
     assert_eq!(names(&mut subset, at(1_100)), before);
 }
 
@@ -120,7 +120,7 @@
         .map(gateway)
         .filter(|member| member.zone == ZONES[0]);
     for member in lost {
-        subset.note_session(&member.name, false);
+        subset.set_connected(&member.name, false);
     }
     names(&mut subset, at(1));
     let after = names(&mut subset, at(1_000));
@@ -152,16 +152,16 @@
 fn a_session_that_nobody_named_is_kept() {
     let mut subset = agent(0, 55);
     let wanted = subset.wanted(at(0));
-    assert!(subset.keeps(&wanted, "a seed that no list names"));
+    assert!(subset.should_keep(&wanted, "a seed that no list names"));
     let other = (0..55).map(gateway).find(|member| !wanted.contains(member));
     let other = other.expect("there are more than it wants");
-    assert!(!subset.keeps(&wanted, &other.name));
+    assert!(!subset.should_keep(&wanted, &other.name));
 }
 
 #[test]
 fn nothing_is_let_go_before_anybody_was_named() {
     let mut subset = Subset::new("agent".into(), "a".into());
-    subset.note_session("a seed", true);
+    subset.set_connected("a seed", true);
     let wanted = subset.wanted(at(0));
     assert!(!subset.is_settled(&wanted), "the seeds are all there is");
 }
@@ -172,15 +172,15 @@
     let wanted = subset.wanted(at(0));
     for (number, member) in wanted.iter().enumerate() {
         assert_eq!(subset.is_settled(&wanted), number >= 8);
-        subset.note_session(&member.name, true);
+        subset.set_connected(&member.name, true);
     }
 }
 
 #[test]
 fn a_session_counts_that_was_opened_before_its_gateway_was_named() {
     let mut subset = Subset::new("agent".into(), "a".into());
-    subset.note_session("gateway-0", true);
-    subset.learn((0..55).map(gateway).collect());
+    subset.set_connected("gateway-0", true);
+    subset.add_members((0..55).map(gateway).collect());
     connect_all(&mut subset, at(0));
     let before = names(&mut subset, at(0));
     assert_eq!(
@@ -198,6 +198,6 @@
         address: ([127, 0, 0, 2], 9).into(),
         ..gateway(1)
     };
-    subset.learn(vec![moved.clone()]);
+    subset.add_members(vec![moved.clone()]);
     assert!(subset.wanted(at(1)).contains(&moved));
 }
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -164,7 +164,7 @@
     }
 
     /// An agent with its worker, of so much room, under control.
-    pub fn in_control(capacity: Resources) -> Self {
+    pub fn with_worker(capacity: Resources) -> Self {
         let mut rig = Self::new();
         rig.register(at(0), "life-1", capacity, false);
         rig.answer_watch(at(0), WorkerLists::default());
@@ -354,7 +354,7 @@
     }
 
     /// A start gets no answer.
-    pub fn lose_start(&mut self, now: Timestamp, run: RunId) {
+    pub fn time_out_start(&mut self, now: Timestamp, run: RunId) {
         self.event(
             now,
             AgentEvent::StartAnswered {
@@ -419,7 +419,7 @@
     }
 
     /// The watch that is under way gets no answer.
-    pub fn lose_watch(&mut self, now: Timestamp) {
+    pub fn time_out_watch(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::NoAnswer);
     }
 
--- a/laurelstile-sim/src/fleet/links.rs
+++ b/laurelstile-sim/src/fleet/links.rs
@@ -134,7 +134,7 @@
         self.gateway_event(by, GatewayEvent::AgentOpened { session, remote });
         let clock = self.machines[machine].clock(self.now);
         if let Role::Agent(_, subset) = &mut self.machines[machine].role {
-            subset.note_session(&machines::member(by).name, true);
+            subset.set_connected(&machines::member(by).name, true);
             let first = subset.first_message(clock);
             self.send(machine, session, Payload::FromAgent(first));
         }
@@ -177,7 +177,7 @@
         };
         if !self.machines[machine].is_gateway() {
             if let Role::Agent(_, subset) = &mut self.machines[machine].role {
-                subset.note_session(&machines::member(other).name, false);
+                subset.set_connected(&machines::member(other).name, false);
             }
             self.agent_event(machine, AgentEvent::Closed { session });
         } else if self.machines[other].is_gateway() {
--- a/laurelstile-sim/src/fleet/world.rs
+++ b/laurelstile-sim/src/fleet/world.rs
@@ -422,7 +422,7 @@
                 AgentEffect::Close(session) => self.close(machine, session),
                 AgentEffect::Members(members) => {
                     if let Role::Agent(_, subset) = &mut self.machines[machine].role {
-                        subset.learn(members);
+                        subset.add_members(members);
                     }
                     self.dial_wanted(machine);
                 }
--- a/laurelstile-wire/src/session.rs
+++ b/laurelstile-wire/src/session.rs
@@ -51,7 +51,7 @@
     local: &LocalNode,
     expected: NodeRole,
 ) -> Result<(Socket, Remote), WireError> {
-    dial_within(CONNECT_TIMEOUT, address, source, local, expected).await
+    dial_with_timeout(CONNECT_TIMEOUT, address, source, local, expected).await
 }
 
 /// Dials as [`dial`] does, and gives the opening of the connection up after
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// Any [`WireError`].
-pub async fn dial_within(
+pub async fn dial_with_timeout(
     limit: Duration,
     address: SocketAddr,
     source: Option<IpAddr>,
--- a/laurelstiled/src/leased/links.rs
+++ b/laurelstiled/src/leased/links.rs
@@ -57,7 +57,7 @@
         outgoing: mpsc::UnboundedSender<FromAgent>,
     ) {
         log::info!(event = "session_opened", gateway = name.as_str(), address:% = address; "");
-        self.subset.note_session(&name, true);
+        self.subset.set_connected(&name, true);
         let _ = outgoing.send(self.subset.first_message(now));
         let link = Link {
             name,
@@ -77,7 +77,7 @@
 
     fn note_closed(&mut self, name: &str) {
         if !self.open.values().any(|link| link.name == name) {
-            self.subset.note_session(name, false);
+            self.subset.set_connected(name, false);
         }
     }
 
@@ -95,7 +95,7 @@
 
     /// Gateways were named.
     pub fn learn(&mut self, now: Timestamp, members: Vec<Member>) {
-        self.subset.learn(members);
+        self.subset.add_members(members);
         self.dial_wanted(now);
     }
 
@@ -128,7 +128,7 @@
     fn close_unwanted(&mut self, now: Timestamp, wanted: &[Member], agent: &mut LeasedAgent) {
         let mut over = Vec::new();
         for (session, link) in &mut self.open {
-            if self.subset.keeps(wanted, &link.name) {
+            if self.subset.should_keep(wanted, &link.name) {
                 if link.released.take().is_some() {
                     agent.release(*session, false);
                 }
--- a/laurelstiled/src/leased/membership.rs
+++ b/laurelstiled/src/leased/membership.rs
@@ -107,7 +107,7 @@
     let mut pages = vec![page];
     if pages[0].until.is_none() && !from.is_empty() {
         let mut first = read_page(store, "").await?.0;
-        first.end_before(from);
+        first.truncate_at(from);
         pages.push(first);
     }
     Ok((pages, now_millis))
--- a/laurelstiled/src/leased/sessions.rs
+++ b/laurelstiled/src/leased/sessions.rs
@@ -174,7 +174,7 @@
     async fn open(&self, failures: u32) -> Result<(Socket, Remote), WireError> {
         let limit = duration(connect_timeout(failures));
         let role = NodeRole::Gateway;
-        let dialing = session::dial_within(limit, self.address, None, &self.local, role);
+        let dialing = session::dial_with_timeout(limit, self.address, None, &self.local, role);
         let dialed = tokio::time::timeout(duration(DIAL_TIMEOUT), dialing).await;
         dialed.unwrap_or(Err(WireError::Timeout))
     }
