--- a/laurelstile-core/src/leased/crashes.rs
+++ b/laurelstile-core/src/leased/crashes.rs
@@ -1,9 +1,9 @@
-//! Crashes of workers, and which tasks were there.
+//! Log of worker crashes and of the tasks that were running at the time.
 //!
-//! A task may take down each worker that starts it. Nothing tells it from the sound tasks
-//! that ran beside it, or from a worker that died by itself, but that it was there each
-//! time. So a task is judged by the crashes that it has been part of, whoever placed it:
-//! agents tell of them to all their gateways, and gateways to each other.
+//! A task may crash every worker that starts it. It cannot be told apart from the healthy tasks
+//! that ran beside it, or from a worker that crashed on its own, except by being present each time.
+//! A task is therefore judged by all crashes that it took part in, whichever gateway placed it:
+//! agents report crashes to all their gateways, and gateways forward them to each other.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,41 +14,39 @@
 use super::serde_defaults::is_false;
 use super::task::{JobId, TaskId};
 
-/// Crashes from which on a task runs alone on a worker: a second may be chance, where a
-/// worker dies by itself or beside another such task.
-const CRASHES_OF_A_SUSPECT: usize = 2;
-/// Early crashes from which on a task is given up, if the last one had it alone.
-const EARLY_CRASHES_ALONE: usize = 2;
-/// Early crashes from which on it is given up in any case.
-const EARLY_CRASHES: usize = 3;
-/// Crashes from which on it is given up whatever they looked like. That a sound task is hit
-/// so often, alone from the third on, is rare: where two of eleven workers die by themselves
-/// twice a second, up to 4 sound jobs failed in 40 runs; given up after three, 39 in 20.
-const MOST_CRASHES: usize = 5;
-/// How long a crash is remembered: longer than callers keep on handing a job in.
-const MEMORY: Span = Span::from_secs(60);
-/// Most crashes of tasks that are remembered: all that run when a seventh of 800 workers with 24 tasks
-/// each crash at once, three times over. Some 100 bytes each.
-const MOST_TASKS: usize = 8 * 1024;
-
-/// A worker that has crashed, as its agent tells.
+/// Crashes from which on a task runs exclusively: two may be a coincidence, where a worker crashes
+/// on its own or because of another task.
+const SUSPECT_CRASHES: usize = 2;
+/// Early crashes after which a task fails, if it was the worker's only run in the last one.
+const MAX_EARLY_CRASHES_EXCLUSIVE: usize = 2;
+/// Early crashes after which a task fails in any case.
+const MAX_EARLY_CRASHES: usize = 3;
+/// Crashes after which a task fails, early or not. A healthy task rarely reaches this count, since
+/// it runs exclusively from its third attempt on.
+const MAX_CRASHES: usize = 5;
+/// How long a crash is remembered: longer than callers resubmit a job.
+const RETENTION: Span = Span::from_secs(60);
+/// Maximum number of remembered (crash, task) pairs, at about 100 bytes each.
+const MAX_ENTRIES: usize = 8 * 1024;
+
+/// A worker crash, as reported by the worker's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerCrash {
-    /// The life that ended. Whoever tells of a crash, and however often, it counts once.
+    /// The worker incarnation that crashed. It identifies the crash: a repeated report counts once.
     #[serde(rename = "l")]
     pub incarnation: String,
-    /// How many runs it had begun.
+    /// Number of runs that the worker had started and not ended.
     #[serde(rename = "n")]
     pub runs: u32,
-    /// Those of them that the receiver is told of.
+    /// Those of the runs that concern the receiver.
     #[serde(rename = "t")]
     pub tasks: Vec<CrashedTask>,
 }
 
 impl WorkerCrash {
-    /// The same crash, as told of some of its tasks; none if none of them is among those.
-    pub fn restricted_to(&self, is_told: impl Fn(TaskId) -> bool) -> Option<Self> {
-        let tasks = self.tasks.iter().filter(|crashed| is_told(crashed.task));
+    /// The same crash, restricted to the tasks that `selects` selects; `None` if there are none.
+    pub fn restricted_to(&self, selects: impl Fn(TaskId) -> bool) -> Option<Self> {
+        let tasks = self.tasks.iter().filter(|crashed| selects(crashed.task));
         let tasks: Vec<CrashedTask> = tasks.copied().collect();
         (!tasks.is_empty()).then(|| Self {
             incarnation: self.incarnation.clone(),
@@ -58,36 +56,37 @@
     }
 }
 
-/// A task that a worker had begun as it crashed.
+/// A task that was running on a worker when it crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashedTask {
     /// The task.
     #[serde(rename = "t")]
     pub task: TaskId,
-    /// Whether the worker died soon after the start, for a task of this length. Sound tasks
-    /// are seldom so young when their worker dies.
+    /// Whether the worker crashed soon after the task's start, relative to the task's estimated
+    /// duration. For a healthy task this is unlikely.
     #[serde(rename = "e", default, skip_serializing_if = "is_false")]
     pub is_early: bool,
 }
 
-/// How far a task is to be trusted.
+/// Suspicion that a task crashes its workers, in rising order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suspicion {
-    /// No worker has crashed under it.
+    /// No worker crashed while running it.
     Clear,
-    /// One worker has. It shares its next one with sound tasks only, so that the crashes of
-    /// one task have no other in common.
+    /// One worker crashed. The task shares its next worker only with tasks that are clear, so that
+    /// two suspicious tasks do not crash together again.
     OneCrash,
-    /// One worker has, soon after its start. If a worker can be had for it alone, that
-    /// tells at the cost of one crash; else it is placed as one that shares its worker.
+    /// One worker crashed, soon after the task's start. The task runs exclusively if an idle worker
+    /// is available, which settles the question with one more crash; otherwise as
+    /// [`Suspicion::OneCrash`].
     OneEarlyCrash,
-    /// Several have: it runs alone on its next worker.
+    /// Several workers crashed: the task runs exclusively on its next worker.
     Suspect,
-    /// It takes its workers down, and is not started again.
+    /// The task crashes its workers; it is not started again.
     Poison,
 }
 
-/// A crash under a task.
+/// A crash during a run of a task.
 #[derive(Clone, Debug)]
 struct Crash {
     incarnation: Arc<str>,
@@ -95,28 +94,28 @@
     is_exclusive: bool,
 }
 
-/// The crashes that are remembered, by the tasks that were there.
+/// The remembered crashes, by task.
 #[derive(Debug, Default)]
 pub struct CrashLog {
     crashes: BTreeMap<TaskId, Vec<Crash>>,
-    /// The task of each crash, in the order in which they were noted.
-    noted: VecDeque<(Timestamp, TaskId)>,
-    /// When one was last forgotten for want of room.
-    overran_at: Option<Timestamp>,
+    /// The task of each crash, in the order of recording.
+    recorded: VecDeque<(Timestamp, TaskId)>,
+    /// When an entry was last evicted because the log was full.
+    evicted_at: Option<Timestamp>,
 }
 
 impl CrashLog {
-    /// Whether what seems to be news may have been known and forgotten. It is not passed on
-    /// then: it would go round and round.
+    /// Whether a crash that looks new may have been known and evicted. Such a crash is not
+    /// forwarded, since it would circulate among the gateways without end.
     pub fn may_have_evicted(&self, now: Timestamp) -> bool {
-        self.overran_at.is_some_and(|at| now.since(at) <= MEMORY)
+        self.evicted_at.is_some_and(|at| now.since(at) <= RETENTION)
     }
 
-    /// Takes a crash in, and gives the tasks for which it is news.
+    /// Records a crash, and returns the tasks for which it is new.
     pub fn record(&mut self, now: Timestamp, crash: &WorkerCrash) -> Vec<TaskId> {
-        self.forget_old(now);
+        self.evict_expired(now);
         let incarnation: Arc<str> = crash.incarnation.as_str().into();
-        let mut news = Vec::new();
+        let mut new = Vec::new();
         for CrashedTask { task, is_early } in &crash.tasks {
             let crashes = self.crashes.entry(*task).or_default();
             if crashes.iter().any(|known| known.incarnation == incarnation) {
@@ -127,23 +126,24 @@
                 is_early: *is_early,
                 is_exclusive: crash.runs == 1,
             });
-            self.noted.push_back((now, *task));
-            news.push(*task);
+            self.recorded.push_back((now, *task));
+            new.push(*task);
         }
-        news
+        new
     }
 
-    /// How far a task is to be trusted.
+    /// The suspicion against a task, by its remembered crashes.
     pub fn suspicion(&self, task: TaskId) -> Suspicion {
         let Some(crashes) = self.crashes.get(&task) else {
             return Suspicion::Clear;
         };
         let early = crashes.iter().filter(|crash| crash.is_early).count();
-        let was_alone = crashes.last().is_some_and(|crash| crash.is_exclusive);
-        let is_proved = (was_alone && early >= EARLY_CRASHES_ALONE) || early >= EARLY_CRASHES;
-        if is_proved || crashes.len() >= MOST_CRASHES {
+        let was_exclusive = crashes.last().is_some_and(|crash| crash.is_exclusive);
+        let is_proven =
+            (was_exclusive && early >= MAX_EARLY_CRASHES_EXCLUSIVE) || early >= MAX_EARLY_CRASHES;
+        if is_proven || crashes.len() >= MAX_CRASHES {
             Suspicion::Poison
-        } else if crashes.len() >= CRASHES_OF_A_SUSPECT {
+        } else if crashes.len() >= SUSPECT_CRASHES {
             Suspicion::Suspect
         } else if early > 0 {
             Suspicion::OneEarlyCrash
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The lives that have ended under a task.
+    /// The worker incarnations that crashed while running a task.
     pub fn incarnations_of(&self, task: TaskId) -> Vec<Arc<str>> {
         let crashes = self.crashes.get(&task).into_iter().flatten();
         crashes
@@ -160,7 +160,7 @@
             .collect()
     }
 
-    /// The tasks of a job under which workers have crashed.
+    /// The tasks of a job with remembered crashes.
     pub fn tasks_of(&self, job: JobId) -> impl Iterator<Item = TaskId> {
         let first = TaskId {
             job,
@@ -177,20 +177,20 @@
         self.crashes.is_empty()
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        while let Some((at, task)) = self.noted.front().copied() {
-            if now.since(at) <= MEMORY {
-                if self.noted.len() <= MOST_TASKS {
+    fn evict_expired(&mut self, now: Timestamp) {
+        while let Some((at, task)) = self.recorded.front().copied() {
+            if now.since(at) <= RETENTION {
+                if self.recorded.len() <= MAX_ENTRIES {
                     return;
                 }
-                self.overran_at = Some(now);
+                self.evicted_at = Some(now);
             }
-            self.noted.pop_front();
-            self.forget_first_of(task);
+            self.recorded.pop_front();
+            self.remove_oldest_of(task);
         }
     }
 
-    fn forget_first_of(&mut self, task: TaskId) {
+    fn remove_oldest_of(&mut self, task: TaskId) {
         let Some(crashes) = self.crashes.get_mut(&task) else {
             return;
         };
--- a/laurelstile-core/src/leased/evacuation.rs
+++ b/laurelstile-core/src/leased/evacuation.rs
@@ -1,48 +1,48 @@
-//! Zones whose workers are to be given nothing, as operators ask.
+//! Zones that operators have evacuated: their workers get no tasks.
 //!
-//! Gateways read from the store which zones are evacuated, tell each other and their
-//! agents, and place nothing there. An agent refuses starts while its zone is evacuated,
-//! whatever gateway they come from: the one that placed them may not have heard of it.
+//! Gateways read the evacuated zones from the store, pass them on to each other and to their
+//! agents, and place no tasks there. An agent rejects starts while its own zone is evacuated, since
+//! the gateway that sent them may not know of the evacuation yet.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// The zones that are evacuated, as of a revision of the store.
+/// The evacuated zones, as of a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The store's revision; rises with every write to it. 0 before anything was read.
+    /// Revision of the store, which rises with each write; 0 before the first read.
     #[serde(rename = "v")]
     pub revision: u64,
-    /// Names of the zones.
+    /// Names of the evacuated zones.
     #[serde(rename = "z", default, skip_serializing_if = "BTreeSet::is_empty")]
     pub zones: BTreeSet<String>,
 }
 
-/// What news have changed.
+/// Effect of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// Nothing: newer ones are known.
+    /// None: the same or a later revision is known.
     Stale,
-    /// The revision only.
+    /// Only the revision changed.
     Unchanged,
-    /// The zones.
+    /// The set of zones changed.
     Changed,
 }
 
 impl Evacuations {
-    /// Whether the workers of `zone` are to be given nothing.
+    /// Whether `zone` is evacuated.
     pub fn covers(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
-    /// Takes over what is known as of a later revision; news that come late are ignored.
-    pub fn update(&mut self, news: Self) -> Update {
-        if news.revision <= self.revision {
+    /// Replaces the zones by those of a later revision; an older or equal revision is ignored.
+    pub fn update(&mut self, newer: Self) -> Update {
+        if newer.revision <= self.revision {
             return Update::Stale;
         }
-        let has_changed = news.zones != self.zones;
-        *self = news;
+        let has_changed = newer.zones != self.zones;
+        *self = newer;
         if has_changed {
             Update::Changed
         } else {
--- a/laurelstile-core/src/leased/input.rs
+++ b/laurelstile-core/src/leased/input.rs
@@ -1,8 +1,7 @@
-//! A job's input: a text that its caller chose, packed on its way to agents.
+//! A job's input: text chosen by the caller, compressed on its way to agents.
 //!
-//! The input is most of what a gateway sends, and it goes to each worker that gets tasks
-//! of the job: with inputs of 1.2 KB and 3 workers a job it was 80% of a gateway's bytes.
-//! Packing takes it once for each job, however many workers get it.
+//! The input is sent to each worker that runs tasks of the job and makes up most of a gateway's
+//! outgoing bytes. It is compressed once for each job.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -13,56 +12,56 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use thiserror::Error;
 
-/// Shorter inputs go as they are: packing gains too little there.
-const LEAST_PACKED_BYTES: usize = 128;
-/// Longest input that is taken, in bytes: a packed one may claim to be far longer than
-/// what came. Callers' bodies are limited to a quarter of it.
+/// Shorter inputs are sent uncompressed: compression gains too little.
+const MIN_COMPRESSED_INPUT_BYTES: usize = 128;
+/// Maximum length of an input, in bytes. Checked during decompression, since a short message may
+/// expand to far more. Callers' request bodies have a lower limit of their own.
 pub const MAX_INPUT_BYTES: usize = 1024 * 1024;
 
-/// A job's input.
+/// A job's input; clones share the text and its compressed form.
 #[derive(Clone)]
 pub struct JobInput(Arc<Inner>);
 
 struct Inner {
     text: Box<str>,
-    /// The packed form, made when it is first sent; `None` if it would not be shorter.
-    packed: OnceLock<Option<Vec<u8>>>,
+    /// The compressed form, computed on first use; `None` if it would not be shorter.
+    compressed: OnceLock<Option<Vec<u8>>>,
 }
 
-/// A packed input that is none.
+/// Why compressed input was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InputError {
-    /// It is not a deflated text, or not a whole one.
-    #[error("the packed input is garbled")]
+    /// The bytes are not a complete deflate stream of UTF-8 text.
+    #[error("the compressed input is corrupt or truncated")]
     Corrupt,
-    /// It would be longer than any input.
-    #[error("the input has over {MAX_INPUT_BYTES} bytes")]
+    /// The text is longer than [`MAX_INPUT_BYTES`].
+    #[error("the input is longer than {MAX_INPUT_BYTES} bytes")]
     TooLong,
 }
 
 impl JobInput {
-    /// The input, as its caller sent it.
+    /// The input, as the caller sent it.
     pub fn as_str(&self) -> &str {
         &self.0.text
     }
 
-    /// Bytes that it takes in a message.
+    /// Length of the serialized input, in bytes.
     pub fn wire_bytes(&self) -> usize {
-        self.packed().map_or(self.0.text.len(), <[u8]>::len)
+        self.compressed().map_or(self.0.text.len(), <[u8]>::len)
     }
 
-    /// The packed form, if it is shorter.
-    fn packed(&self) -> Option<&[u8]> {
-        let packed = self.0.packed.get_or_init(|| pack(&self.0.text));
-        packed.as_deref()
+    /// The compressed form, if it is shorter than the text.
+    fn compressed(&self) -> Option<&[u8]> {
+        let compressed = self.0.compressed.get_or_init(|| compress(&self.0.text));
+        compressed.as_deref()
     }
 
-    /// The input of a packed form.
+    /// Decompresses an input.
     ///
     /// # Errors
-    /// [`InputError`].
-    pub fn decompress(packed: &[u8]) -> Result<Self, InputError> {
-        let bytes = inflate(packed)?;
+    /// [`InputError`] if the bytes are corrupt or the text is too long.
+    pub fn decompress(compressed: &[u8]) -> Result<Self, InputError> {
+        let bytes = decompress_bytes(compressed)?;
         let text = String::from_utf8(bytes).map_err(|_| InputError::Corrupt)?;
         Ok(Self::from(text))
     }
@@ -72,7 +71,7 @@
     fn from(text: String) -> Self {
         Self(Arc::new(Inner {
             text: text.into_boxed_str(),
-            packed: OnceLock::new(),
+            compressed: OnceLock::new(),
         }))
     }
 }
@@ -97,11 +96,11 @@
     }
 }
 
-/// A text where it is not packed, else a byte string.
+/// Serialized as text if uncompressed, otherwise as a byte string.
 impl Serialize for JobInput {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        match self.packed() {
-            Some(packed) => serializer.serialize_bytes(packed),
+        match self.compressed() {
+            Some(compressed) => serializer.serialize_bytes(compressed),
             None => serializer.serialize_str(self.as_str()),
         }
     }
@@ -119,46 +118,46 @@
     type Value = JobInput;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("a text, or a packed one")
+        formatter.write_str("text, or a byte string of compressed text")
     }
 
     fn visit_str<E: Error>(self, text: &str) -> Result<JobInput, E> {
         Ok(JobInput::from(text))
     }
 
-    fn visit_bytes<E: Error>(self, packed: &[u8]) -> Result<JobInput, E> {
-        JobInput::decompress(packed).map_err(E::custom)
+    fn visit_bytes<E: Error>(self, compressed: &[u8]) -> Result<JobInput, E> {
+        JobInput::decompress(compressed).map_err(E::custom)
     }
 }
 
 thread_local! {
-    /// One of each for a thread: a new one takes more time than a packing.
-    static DEFLATER: RefCell<Compress> = RefCell::new(Compress::new(Compression::fast(), false));
-    static INFLATER: RefCell<Decompress> = RefCell::new(Decompress::new(false));
+    /// One of each per thread: allocating one costs more than compressing an input.
+    static COMPRESSOR: RefCell<Compress> = RefCell::new(Compress::new(Compression::fast(), false));
+    static DECOMPRESSOR: RefCell<Decompress> = RefCell::new(Decompress::new(false));
 }
 
-fn pack(text: &str) -> Option<Vec<u8>> {
-    if text.len() < LEAST_PACKED_BYTES {
+fn compress(text: &str) -> Option<Vec<u8>> {
+    if text.len() < MIN_COMPRESSED_INPUT_BYTES {
         return None;
     }
-    // What does not fit into fewer bytes than the text is not worth packing.
-    let mut packed = Vec::with_capacity(text.len() - 1);
-    let status = DEFLATER.with_borrow_mut(|deflater| {
-        deflater.reset();
-        deflater.compress_vec(text.as_bytes(), &mut packed, FlushCompress::Finish)
+    // The capacity bounds the output: compression fails unless it shortens the text.
+    let mut compressed = Vec::with_capacity(text.len() - 1);
+    let status = COMPRESSOR.with_borrow_mut(|compressor| {
+        compressor.reset();
+        compressor.compress_vec(text.as_bytes(), &mut compressed, FlushCompress::Finish)
     });
-    matches!(status, Ok(Status::StreamEnd)).then_some(packed)
+    matches!(status, Ok(Status::StreamEnd)).then_some(compressed)
 }
 
-fn inflate(packed: &[u8]) -> Result<Vec<u8>, InputError> {
-    INFLATER.with_borrow_mut(|inflater| {
-        inflater.reset(false);
-        let mut bytes = Vec::with_capacity(packed.len() * 2);
+fn decompress_bytes(compressed: &[u8]) -> Result<Vec<u8>, InputError> {
+    DECOMPRESSOR.with_borrow_mut(|decompressor| {
+        decompressor.reset(false);
+        let mut bytes = Vec::with_capacity(compressed.len() * 2);
         loop {
-            let taken = usize::try_from(inflater.total_in()).unwrap_or(usize::MAX);
-            let rest = packed.get(taken..).unwrap_or_default();
-            let made = bytes.len();
-            let status = inflater
+            let consumed = usize::try_from(decompressor.total_in()).unwrap_or(usize::MAX);
+            let rest = compressed.get(consumed..).unwrap_or_default();
+            let produced = bytes.len();
+            let status = decompressor
                 .decompress_vec(rest, &mut bytes, FlushDecompress::None)
                 .map_err(|_| InputError::Corrupt)?;
             if bytes.len() > MAX_INPUT_BYTES {
@@ -168,11 +167,11 @@
                 return Ok(bytes);
             }
             let has_space = bytes.len() < bytes.capacity();
-            if has_space && bytes.len() == made {
-                // There is nothing to take any more, and still no end.
+            if has_space && bytes.len() == produced {
+                // No input is left, and the stream has not ended.
                 return Err(InputError::Corrupt);
             }
-            bytes.reserve(bytes.len().max(LEAST_PACKED_BYTES));
+            bytes.reserve(bytes.len().max(MIN_COMPRESSED_INPUT_BYTES));
         }
     })
 }
--- a/laurelstile-core/src/leased/message_kinds.rs
+++ b/laurelstile-core/src/leased/message_kinds.rs
@@ -1,4 +1,4 @@
-//! Names of the messages between gateways and the agents of leased workers, for counters.
+//! Names of the messages between gateways and agents of leased workers, for metrics.
 
 use super::messages::{FromAgent, FromAgentBody, ToAgent, ToAgentBody, ToPeer};
 use crate::session::MessageKind;
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between gateways and the agents of leased workers, and between
-//! gateways. Field names are short on the wire: bytes between zones cost.
+//! Messages between gateways and the agents of leased workers, and between gateways. Field names
+//! are short on the wire to save bandwidth between zones.
 
 use std::net::SocketAddr;
 
@@ -15,16 +15,16 @@
 use super::serde_defaults::is_false;
 use super::task::{JobId, RunNumber, TaskId};
 
-/// From a gateway to an agent.
+/// A message from a gateway to an agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ToAgent {
-    /// The latest reading of the agent's clock that the gateway has seen.
+    /// The latest reading of the agent's clock that the gateway has received.
     #[serde(rename = "e")]
     pub echo: Timestamp,
-    /// The highest number of an end that the gateway has taken in.
+    /// Acknowledges all ends up to this number; see [`TaskEnd::number`].
     #[serde(rename = "s")]
     pub acknowledged: u64,
-    /// What it is about.
+    /// Content beside the echo; absent on the wire if it is a heartbeat.
     #[serde(
         rename = "b",
         default,
@@ -33,35 +33,35 @@
     pub body: ToAgentBody,
 }
 
-/// What a gateway tells an agent.
+/// The content of a message from a gateway to an agent.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub enum ToAgentBody {
-    /// Only the echo.
+    /// No content: only the echo and the acknowledgement.
     #[default]
     #[serde(rename = "h")]
     Heartbeat,
-    /// Tasks to be started.
+    /// Starts tasks.
     #[serde(rename = "r")]
     Start(StartBatch),
-    /// Tasks to be stopped; each is answered by its end.
+    /// Stops tasks; each is answered by its end.
     #[serde(rename = "x")]
     Stop(Vec<TaskId>),
-    /// Gateways that the agent ranks first and has not been told on this session yet.
+    /// Gateways among the agent's candidates that this session has not sent yet.
     #[serde(rename = "m")]
     Members(Vec<Member>),
-    /// Tasks that wait for room at the gateway.
+    /// Tasks that wait at the gateway for free resources.
     #[serde(rename = "a")]
     Announce(Vec<Announcement>),
-    /// Offers, by number, that the gateway has no use for.
+    /// Numbers of the offers that the gateway does not use.
     #[serde(rename = "d")]
     Decline(Vec<u64>),
-    /// Zones that are evacuated, as the gateway knows it.
+    /// The evacuated zones, as the gateway knows them.
     #[serde(rename = "v")]
     Evacuations(Evacuations),
-    /// An earlier agent of the same name was here.
+    /// The gateway had a session with an earlier agent process of the same name.
     #[serde(rename = "p")]
     Predecessor {
-        /// How long ago the gateway heard it.
+        /// How long ago the gateway last received a message from it.
         #[serde(rename = "s")]
         silence: Span,
     },
@@ -73,31 +73,31 @@
     }
 }
 
-/// Tasks of a step that wait for room. It replaces what was announced of the step.
+/// Tasks of a step that wait for free resources. Replaces the step's previous announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The job.
+    /// Job that the tasks belong to.
     #[serde(rename = "j")]
     pub job: JobId,
-    /// The step.
+    /// Index of the step within the job.
     #[serde(rename = "t")]
     pub step: u32,
-    /// What each task needs.
+    /// Resources that each task requires.
     #[serde(rename = "o")]
     pub resources: Resources,
     /// Number of tasks; 0 if none waits any more.
     #[serde(rename = "k")]
     pub count: u32,
-    /// Rank among all that wait, of all gateways; the lowest goes first.
+    /// Rank among the waiting tasks of all gateways; the lowest is served first.
     #[serde(rename = "q")]
     pub rank: u32,
-    /// How long the tasks wait at most, in milliseconds.
+    /// How long the announcement is valid, in milliseconds.
     #[serde(rename = "w")]
     pub ttl_millis: u32,
 }
 
 impl Announcement {
-    /// Tells that no task of a step waits any more.
+    /// Withdraws the announcement of a step: none of its tasks waits any more.
     pub fn withdrawn(job: JobId, step: u32) -> Self {
         Self {
             job,
@@ -110,85 +110,84 @@
     }
 }
 
-/// Room that an agent holds for a gateway for a moment.
+/// Resources that an agent reserves for a gateway for a short time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// Number of the offer in its session, rising from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The room.
+    /// The reserved resources.
     #[serde(rename = "o")]
     pub resources: Resources,
 }
 
-/// Tasks of one step of a job, for one worker.
+/// Tasks of one step of a job, to be started on one worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartBatch {
     /// Number of this batch in its session, rising from 1.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The job.
+    /// Job that the tasks belong to.
     #[serde(rename = "j")]
     pub job: JobId,
-    /// The step.
+    /// Index of the step within the job.
     #[serde(rename = "t")]
     pub step: u32,
-    /// The job's input, as its caller sent it.
+    /// The job's input, as the caller sent it.
     #[serde(rename = "i")]
     pub input: JobInput,
-    /// What each task needs.
+    /// Resources that each task requires.
     #[serde(rename = "o")]
     pub resources: Resources,
-    /// A rough guess of how long each task takes, in milliseconds.
+    /// Rough estimate of each task's run time, in milliseconds.
     #[serde(rename = "d")]
     pub estimate_millis: u32,
-    /// How long the tasks may wait for room at the agent, in milliseconds.
+    /// How long the tasks may wait at the agent for free resources, in milliseconds.
     #[serde(rename = "w")]
     pub max_wait_millis: u32,
-    /// Index and run of each task.
+    /// Index and run number of each task.
     #[serde(rename = "k")]
     pub tasks: Vec<(u32, RunNumber)>,
-    /// The offer that the batch answers, if any.
+    /// Number of the offer that the batch uses, if any.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub offer: Option<u64>,
-    /// Whether the worker is to run nothing beside it. It is the only task of its batch.
+    /// Whether the worker must run nothing else at the same time. The batch then has one task.
     #[serde(rename = "l", default, skip_serializing_if = "is_false")]
     pub is_exclusive: bool,
-    /// Whether its only task has stood still on another worker: if it does so again, that
-    /// says nothing of the worker.
+    /// Whether the batch's only task has stalled on another worker: if it stalls again, this says
+    /// nothing about the worker.
     #[serde(rename = "z", default, skip_serializing_if = "is_false")]
     pub has_stalled: bool,
 }
 
-/// Bytes of a batch besides its input and its tasks, with the frame and the packet that
-/// carry it.
-const BATCH_BYTES: u64 = 150;
-/// Bytes of each of its tasks.
+/// Fixed size of a batch on the wire, in bytes, with its framing.
+const BATCH_OVERHEAD_BYTES: u64 = 150;
+/// Size of each task of a batch, in bytes.
 const TASK_BYTES: u64 = 4;
 
 impl StartBatch {
-    /// Bytes that it takes on the wire, roughly.
+    /// Approximate size on the wire, in bytes.
     pub fn bytes(&self) -> u64 {
-        BATCH_BYTES + self.input.wire_bytes() as u64 + TASK_BYTES * self.tasks.len() as u64
+        BATCH_OVERHEAD_BYTES + self.input.wire_bytes() as u64 + TASK_BYTES * self.tasks.len() as u64
     }
 }
 
-/// From an agent to a gateway.
+/// A message from an agent to a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FromAgent {
-    /// The agent's clock.
+    /// Reading of the agent's clock, which the gateway echoes.
     #[serde(rename = "c")]
     pub clock: Timestamp,
-    /// The worker's state, if it has changed since it was last told.
+    /// The worker's state, if it has changed since it was last sent.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub report: Option<Report>,
-    /// Room that is held for the gateway; the report does not count it as free.
+    /// New offers to the gateway. The report does not count their resources as free.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub offers: Vec<Offer>,
-    /// Which gateways the agent would dial, in the first message of a session.
+    /// The gateways that the agent would dial; only in the first message of a session.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub candidates: Option<CandidateSummary>,
-    /// What it is about.
+    /// Content beside clock, report and offers; absent on the wire if it is a heartbeat.
     #[serde(
         rename = "b",
         default,
@@ -197,21 +196,21 @@
     pub body: FromAgentBody,
 }
 
-/// What an agent tells a gateway.
+/// The content of a message from an agent to a gateway.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub enum FromAgentBody {
-    /// Only clock and report.
+    /// No content: only clock, report and offers.
     #[default]
     #[serde(rename = "h")]
     Heartbeat,
-    /// First message of a session, once the worker is under control; repeated
-    /// when the worker's description changes.
+    /// Sent once the agent has control of its worker, and again when the worker's description
+    /// changes.
     #[serde(rename = "s")]
     Snapshot(Snapshot),
     /// Tasks that have ended or were not started.
     #[serde(rename = "x")]
     Ends(Vec<TaskEnd>),
-    /// Lives of the worker that have crashed; before the ends of their runs.
+    /// Crashes of the worker; sent before the ends of the runs that crashed with it.
     #[serde(rename = "c")]
     Crashes(Vec<WorkerCrash>),
 }
@@ -222,39 +221,38 @@
     }
 }
 
-/// What the worker is, and which of the gateway's tasks the agent holds.
+/// Description of the worker, and the gateway's tasks that the agent holds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The service that the worker serves.
+    /// Name of the service that the worker serves.
     pub service: String,
     /// Zone of the worker.
     pub zone: String,
-    /// All the room that the worker has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Labels of the worker.
+    /// Labels that steps may require of a worker.
     pub labels: Vec<String>,
-    /// The gateway's tasks that are here and have not ended.
+    /// The gateway's runs at this agent that have not ended.
     pub held: Vec<(TaskId, RunNumber)>,
 }
 
-/// How a worker does.
+/// Current state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Batches of this session that the agent has taken in.
+    /// Number of the session's last batch that the agent has processed.
     #[serde(rename = "p")]
     pub processed: u64,
-    /// Room that is neither taken nor spoken for.
+    /// Resources that are neither used by runs nor reserved.
     #[serde(rename = "f")]
     pub free: Resources,
-    /// Most tasks that the worker may be given now.
+    /// Maximum number of tasks that may be sent to the worker now.
     #[serde(
         rename = "l",
         default = "unlimited",
         skip_serializing_if = "is_unlimited"
     )]
     pub limit: u32,
-    /// Run time by the estimates, in percent: 100 for a worker that takes as
-    /// long as estimated.
+    /// Recent run times relative to their estimates, in percent; 100 if as estimated.
     #[serde(
         rename = "a",
         default = "as_estimated",
@@ -263,7 +261,7 @@
     pub run_time_percent: u32,
 }
 
-/// Pace of a worker that takes as long as estimated, in percent.
+/// [`Report::run_time_percent`] of a worker whose run times are as estimated.
 pub const NOMINAL_RUN_TIME_PERCENT: u32 = 100;
 
 fn unlimited() -> u32 {
@@ -290,61 +288,61 @@
     *run_time_percent == NOMINAL_RUN_TIME_PERCENT
 }
 
-/// No limit but the room.
+/// [`Report::limit`] of a worker that is limited by its resources only.
 pub const NO_TASK_LIMIT: u32 = u32::MAX;
 
-/// The end of a task at an agent.
+/// The end of a task's run at an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEnd {
-    /// Number of this end for its gateway, rising from 1.
+    /// Number of this end, rising from 1 for each gateway.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The task.
+    /// Task that has ended.
     #[serde(rename = "t")]
     pub task: TaskId,
-    /// The run.
+    /// Run of the task that has ended.
     #[serde(rename = "r")]
     pub run: RunNumber,
-    /// How it ended.
+    /// Outcome of the run.
     #[serde(rename = "h")]
     pub how: EndKind,
 }
 
-/// How a task's time at an agent ended. In every case nothing of it runs.
+/// Outcome of a run at an agent. After any of them the run is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// It is done.
+    /// The task completed.
     #[serde(rename = "d")]
     Done,
-    /// It failed, by its own fault or by the worker's.
+    /// The task failed, because of itself or of the worker.
     #[serde(rename = "f")]
     Failed,
-    /// It failed on a worker that has failed others too.
+    /// The task failed on a worker on which other tasks have failed too.
     #[serde(rename = "s")]
     FailedOnSuspect,
-    /// It was stopped as its gateway asked.
+    /// The run was stopped on the gateway's request.
     #[serde(rename = "x")]
     Stopped,
-    /// It stood still and was stopped.
+    /// The run made no progress and was stopped.
     #[serde(rename = "t")]
     Stalled,
-    /// It was far slower than estimated and was stopped.
+    /// The run was far slower than estimated and was stopped.
     #[serde(rename = "w")]
     TooSlow {
-        /// How long it would have taken, in milliseconds.
+        /// Projected run time, in milliseconds.
         #[serde(rename = "p")]
         projected_millis: u32,
     },
-    /// Its worker died, or its lease lapsed.
+    /// The worker died, or its lease expired.
     #[serde(rename = "l")]
     Lost,
-    /// It never started.
+    /// The run never started.
     #[serde(rename = "n")]
     NotStarted(NotStartedReason),
 }
 
 impl EndKind {
-    /// Its name in metrics, without the figures of one run.
+    /// Name in metrics, without values that differ between runs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -376,73 +374,73 @@
 /// Why an agent did not start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotStartedReason {
-    /// The sender's echo is too old.
+    /// The echo of the start's message is too old.
     #[serde(rename = "e")]
     StaleSender,
-    /// The worker is draining, dead, not yet under control, or on probation.
+    /// The worker is draining, dead, not yet controlled by the agent, or on probation.
     #[serde(rename = "u")]
     Unavailable,
-    /// There was no room in time.
+    /// The required resources did not become free in time.
     #[serde(rename = "f")]
     Full,
-    /// The worker has seen this run or a later one.
+    /// The worker has seen this run or a later one of the task.
     #[serde(rename = "o")]
     OldRun,
-    /// An earlier run of the task is still here; it is being stopped.
+    /// An earlier run of the task is still active at the agent and is being stopped.
     #[serde(rename = "d")]
     Duplicate,
-    /// The worker did not answer, or refused; the run is stopped for good.
+    /// The worker rejected the start or did not answer; the run is stopped and cannot start.
     #[serde(rename = "r")]
     Refused,
-    /// The task has waited for longer than it was to.
+    /// The task waited at the agent for longer than the batch allowed.
     #[serde(rename = "x")]
     Withdrawn,
 }
 
-/// A gateway, as members know each other.
+/// Identity of a gateway in the membership.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name, unique among gateways.
     pub name: String,
-    /// Where its sessions are accepted.
+    /// Address where the gateway accepts sessions.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the gateway; empty if an older version did not send it.
     #[serde(default)]
     pub zone: String,
 }
 
-/// What an agent says first on a session: which gateways it would dial.
+/// Summary of the gateways that an agent would dial, for comparison at the gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CandidateSummary {
     /// Zone of the agent.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Hash of the gateways that it knows and ranks first.
+    /// Hash of the candidates among the gateways that the agent knows.
     #[serde(rename = "k")]
     pub known: u64,
-    /// How many these are.
+    /// Number of these candidates.
     #[serde(rename = "n")]
     pub count: usize,
 }
 
-/// Who a gateway is, for its peers.
+/// How a gateway introduces itself to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Where its sessions are accepted.
+    /// Address where the gateway accepts sessions.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the gateway; empty if an older version did not send it.
     #[serde(default)]
     pub zone: String,
-    /// Hash of its directory; none from a gateway of an earlier build, which understands no
-    /// [`ToPeer::Digest`] and no [`ToPeer::MembersWanted`].
+    /// Hash of the gateway's directory; `None` from an older version, which does not understand
+    /// [`ToPeer::Digest`] and [`ToPeer::MembersWanted`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub directory: Option<Digest>,
 }
 
 impl Introduction {
-    /// The introduction of a member with such a directory.
+    /// Introduces a member that has the given directory hash.
     pub fn new(member: &Member, directory: Digest) -> Self {
         Self {
             name: member.name.clone(),
@@ -452,7 +450,7 @@
         }
     }
 
-    /// Who it is.
+    /// Drops the directory hash.
     pub fn into_member(self) -> Member {
         Member {
             name: self.name,
@@ -462,46 +460,47 @@
     }
 }
 
-/// From a gateway to a gateway with which it has a session.
+/// A message from a gateway to a peer, a gateway with which it has a session.
 ///
-/// What is new to the receiver it passes on to its own neighbors, so everything reaches
-/// all gateways in a few hops. No promise of a run rests on any of it.
+/// Updates that are new to the receiver are forwarded to its own peers, so that they reach all
+/// gateways in a few hops. Delivery is best effort: no safety property of runs depends on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToPeer {
-    /// First message of a session: who the sender is.
+    /// First message of a session: identifies the sender.
     Introduction(Introduction),
-    /// Hash of the sender's directory, when it has changed. May be late by seconds: agents
-    /// and gateways know enough others. If it never comes, the store's list tells.
+    /// Hash of the sender's directory, sent when it changes. A delay of seconds is harmless, since
+    /// agents and gateways know enough other gateways. If it is lost, gateways learn of members
+    /// from the list in the store.
     Digest(Digest),
-    /// The receiver's directory differs; the parts are wanted that do not have these hashes.
-    /// If no answer comes, another neighbor is asked.
+    /// Requests the members of those parts of the receiver's directory whose hashes differ from
+    /// these. Without an answer, another neighbor is asked.
     MembersWanted(PartDigests),
-    /// Gateways that the sender knows and the receiver may not. See [`ToPeer::Digest`].
+    /// Members that the receiver may not know. See [`ToPeer::Digest`].
     Members(Vec<Member>),
-    /// Zones that are evacuated, as the sender knows it. May be late by the time that
-    /// operators are promised; if it never comes, each gateway reads the store itself, and
-    /// agents hear of it from any of their gateways.
+    /// The evacuated zones, as the sender knows them. May arrive as late as evacuations may take
+    /// effect. If it is lost, each gateway reads the store itself, and agents hear of the zones
+    /// from any of their gateways.
     Evacuations(Evacuations),
-    /// Workers that have crashed under a caller's tasks. Should come before the caller hands
-    /// in again, after a second; if it never comes, the task is tried on more workers.
+    /// Crashes of workers with the tasks that ran there. Should arrive before the caller resubmits
+    /// its job, about a second later. If it is lost, the task is tried on more workers.
     Crashes(Vec<WorkerCrash>),
-    /// Jobs that callers have cancelled of late, not always at the gateway that has them.
-    /// May be late by the time that callers are promised; if it never comes, the job is
-    /// done or given up at its deadline.
+    /// Jobs that callers have cancelled recently, possibly at another gateway than the job's own.
+    /// May arrive as late as cancellations may take effect. If it is lost, the job completes or
+    /// fails at its deadline.
     Cancelled(Vec<JobId>),
-    /// Several workers have crashed under a caller's task. As [`ToPeer::Crashes`]; if it
-    /// never comes, the queue is not contained at the receiver.
+    /// Several workers have crashed while running this task. As for [`ToPeer::Crashes`]; if it is
+    /// lost, the receiver does not contain the task's queue.
     Suspect {
-        /// Name of its queue.
+        /// Name of the task's queue.
         queue: String,
-        /// The task.
+        /// The task under suspicion.
         task: TaskId,
     },
-    /// Version of the configuration that is in force at the sender. May be late by the time
-    /// that operators are promised; if it never comes, each gateway reads the store itself.
+    /// Version of the configuration in force at the sender. May arrive as late as configuration
+    /// changes may take effect. If it is lost, each gateway reads the store itself.
     InForce(u64),
-    /// The receiver's configuration is wanted: the sender has an older one.
+    /// Requests the receiver's configuration: the sender has an older version.
     ConfigurationWanted,
-    /// The configuration that is in force at the sender.
+    /// The configuration in force at the sender.
     Configuration(QueueConfiguration),
 }
--- a/laurelstile-core/src/leased/mod.rs
+++ b/laurelstile-core/src/leased/mod.rs
@@ -1,15 +1,13 @@
 //! Dispatch to leased workers.
 //!
-//! A leased worker differs in size and speed from its siblings, offers room
-//! (processor, memory, accelerators) instead of slots, and runs each task only
-//! while its lease is renewed. It does not guard its room: the
-//! [`agent`](agent::LeasedAgent) beside it does. A
-//! [`gateway`](gateway::LeasedGateway) keeps its callers' jobs and places
-//! their tasks on workers; gateways need no agreement among themselves, since
-//! the agent alone decides what starts.
+//! Leased workers differ in size and speed. They offer resources (processor, memory, accelerators)
+//! instead of slots, and run each task only while its lease is renewed. A worker does not enforce
+//! its resource limits itself; the [`agent`](agent::LeasedAgent) beside it does. A
+//! [`gateway`](gateway::LeasedGateway) holds its callers' jobs and places their tasks on workers.
+//! Gateways need no agreement among themselves, since only the agent decides what starts.
 //!
-//! Both are machines without I/O: events in through `handle`, effects out, and
-//! `next_wakeup` tells when time alone makes something happen.
+//! Both are state machines without I/O: `handle` takes events, effects are returned, and
+//! `next_wakeup` gives the time of the next action that depends on time alone.
 
 pub mod agent;
 pub mod crashes;
--- a/laurelstile-core/src/leased/redial.rs
+++ b/laurelstile-core/src/leased/redial.rs
@@ -1,35 +1,35 @@
-//! How soon an address is dialed again, and how long a dial may take.
+//! Back-off and time-outs of dialing an address.
 
 use laurelstile_types::time::Span;
 
-/// Pause between two dials of one address, at first and after some failures.
-const FIRST_REDIAL: Span = Span::from_millis(25);
-const LONGEST_REDIAL: Span = Span::from_millis(400);
-/// Longest that the opening of a connection may take, at first and after some
-/// failures. A machine that is off answers no packet, and the system repeats the
-/// first one only after a second; a far machine answers within the longest.
-const FIRST_CONNECT_LIMIT: Span = Span::from_millis(50);
-const LONGEST_CONNECT_LIMIT: Span = Span::from_millis(400);
-/// Failures in a row after which pause and limit double, and double again.
+/// Delay between dials of an address: initial and maximum.
+const MIN_REDIAL_DELAY: Span = Span::from_millis(25);
+const MAX_REDIAL_DELAY: Span = Span::from_millis(400);
+/// Time-out for opening a connection: initial and maximum. A machine without power answers no
+/// packet, and the operating system retransmits the first one only after a second; a distant
+/// machine answers within the maximum.
+const MIN_CONNECT_TIMEOUT: Span = Span::from_millis(50);
+const MAX_CONNECT_TIMEOUT: Span = Span::from_millis(400);
+/// Consecutive failures after which delay and time-out double, each time.
 const FAILURES_PER_DOUBLING: u32 = 5;
-/// Longest that a dial may take, with its hello.
+/// Time-out for a whole dial, with the hello.
 pub const DIAL_TIMEOUT: Span = Span::from_millis(600);
-/// Dials in a row without success after which an address is forgotten; it is
-/// dialed again once somebody names it anew.
+/// Consecutive failed dials after which an address is forgotten, until another process names it
+/// again.
 pub const MAX_DIAL_ATTEMPTS: u32 = 60;
 
-/// Pause after so many failures in a row. Machines that lost power together come
-/// back within less than a second of each other, so the first dials follow closely.
+/// Delay before the next dial after this many consecutive failures. The first dials follow closely,
+/// since machines that lost power together return within a second of each other.
 pub fn redial_delay(failures: u32) -> Span {
-    doubled(FIRST_REDIAL, failures).min(LONGEST_REDIAL)
+    backed_off(MIN_REDIAL_DELAY, failures).min(MAX_REDIAL_DELAY)
 }
 
-/// Longest that the opening of a connection may take after so many failures in a row.
+/// Time-out for opening a connection after this many consecutive failures.
 pub fn connect_timeout(failures: u32) -> Span {
-    doubled(FIRST_CONNECT_LIMIT, failures).min(LONGEST_CONNECT_LIMIT)
+    backed_off(MIN_CONNECT_TIMEOUT, failures).min(MAX_CONNECT_TIMEOUT)
 }
 
-fn doubled(first: Span, failures: u32) -> Span {
+fn backed_off(initial: Span, failures: u32) -> Span {
     let doublings = failures.saturating_sub(1) / FAILURES_PER_DOUBLING;
-    Span(first.0.saturating_mul(2_u64.saturating_pow(doublings)))
+    Span(initial.0.saturating_mul(2_u64.saturating_pow(doublings)))
 }
--- a/laurelstile-core/src/leased/resources.rs
+++ b/laurelstile-core/src/leased/resources.rs
@@ -1,8 +1,8 @@
-//! Room: what a worker offers and a task needs.
+//! Amounts of resources that workers offer and tasks require.
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of processor, memory and accelerators.
+/// Amounts of processor, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor, in thousandths of a core.
@@ -11,7 +11,7 @@
     /// Memory, in MiB.
     #[serde(rename = "m", default, skip_serializing_if = "is_zero")]
     pub memory_mib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "g", default, skip_serializing_if = "is_zero")]
     pub gpus: u32,
 }
@@ -25,22 +25,22 @@
 }
 
 impl Resources {
-    /// Whether this much fits into `free`.
+    /// Whether each amount is at most that of `free`.
     pub fn fits_in(self, free: Self) -> bool {
         self.cpu_millis <= free.cpu_millis
             && self.memory_mib <= free.memory_mib
             && self.gpus <= free.gpus
     }
 
-    /// How many times this much fits into `free`; `u32::MAX` if it is nothing.
+    /// How many times these amounts fit into `free`; `u32::MAX` if all are zero.
     pub fn count_fitting_in(self, free: Self) -> u32 {
-        let times = |need: u32, free: u32| free.checked_div(need).unwrap_or(u32::MAX);
-        times(self.cpu_millis, free.cpu_millis)
-            .min(times(self.memory_mib, free.memory_mib))
-            .min(times(self.gpus, free.gpus))
+        let count = |need: u32, free: u32| free.checked_div(need).unwrap_or(u32::MAX);
+        count(self.cpu_millis, free.cpu_millis)
+            .min(count(self.memory_mib, free.memory_mib))
+            .min(count(self.gpus, free.gpus))
     }
 
-    /// This much `count` times.
+    /// These amounts `count` times, saturating.
     pub fn multiplied_by(self, count: u32) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_mul(count),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Of each kind the smaller amount.
+    /// The smaller amount of each kind.
     pub fn min(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Both together.
+    /// The sum of each kind, saturating at `u32::MAX`.
     pub fn saturating_add(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What is left without `other`; nothing where `other` is more.
+    /// The difference of each kind, zero where `other` is larger.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
--- a/laurelstile-core/src/leased/serde_defaults.rs
+++ b/laurelstile-core/src/leased/serde_defaults.rs
@@ -1,6 +1,6 @@
-//! Values that messages leave out: what is usual takes no bytes.
+//! Predicates for fields that are left out of messages at their usual value.
 
-/// Whether a flag is as usual, which serde asks of a reference.
+/// For `skip_serializing_if`, which passes a reference.
 #[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes the field by reference"
--- a/laurelstile-core/src/leased/task.rs
+++ b/laurelstile-core/src/leased/task.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, tasks and runs.
+//! Identifiers of jobs, tasks and runs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Hexadecimal digits of a job's id.
+/// Length of a job id as text, in hexadecimal digits.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A job, by the id that its caller chose.
+/// Id of a job, chosen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(pub u64);
@@ -20,41 +20,41 @@
     }
 }
 
-/// A text that is not the name of a job or task.
+/// The text is not the id of a job or task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not the name of a job or task")]
-pub struct NameError;
+#[error("not the id of a job or task")]
+pub struct ParseIdError;
 
 impl FromStr for JobId {
-    type Err = NameError;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, NameError> {
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
         let is_well_formed = text.len() == JOB_ID_DIGITS
             && text
                 .bytes()
                 .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
         if !is_well_formed {
-            return Err(NameError);
+            return Err(ParseIdError);
         }
         u64::from_str_radix(text, 16)
             .map(Self)
-            .map_err(|_| NameError)
+            .map_err(|_| ParseIdError)
     }
 }
 
-/// A task of a job. As text: `JOB.REPETITION.STEP.INDEX`.
+/// Id of a task of a job. As text: `JOB.REPETITION.STEP.INDEX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     #[serde(rename = "j")]
     pub job: JobId,
-    /// Which time of a job that runs several times; 0 for others.
-    #[serde(rename = "r", default, skip_serializing_if = "is_first_time")]
+    /// Which execution of the job's steps, for a job that repeats them; 0 otherwise.
+    #[serde(rename = "r", default, skip_serializing_if = "is_zero")]
     pub repetition: u32,
-    /// Step within the job.
+    /// Index of the step within the job.
     #[serde(rename = "s")]
     pub step: u32,
-    /// Index within the step.
+    /// Index of the task within its step.
     #[serde(rename = "i")]
     pub index: u32,
 }
@@ -63,7 +63,7 @@
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes the field by reference"
 )]
-fn is_first_time(repetition: &u32) -> bool {
+fn is_zero(repetition: &u32) -> bool {
     *repetition == 0
 }
 
@@ -78,14 +78,14 @@
 }
 
 impl FromStr for TaskId {
-    type Err = NameError;
+    type Err = ParseIdError;
 
-    fn from_str(text: &str) -> Result<Self, NameError> {
+    fn from_str(text: &str) -> Result<Self, ParseIdError> {
         let mut parts = text.split('.');
-        let job = parts.next().ok_or(NameError)?.parse()?;
-        let mut number = || -> Result<u32, NameError> {
-            let part = parts.next().ok_or(NameError)?;
-            part.parse().map_err(|_| NameError)
+        let job = parts.next().ok_or(ParseIdError)?.parse()?;
+        let mut number = || -> Result<u32, ParseIdError> {
+            let part = parts.next().ok_or(ParseIdError)?;
+            part.parse().map_err(|_| ParseIdError)
         };
         let task = Self {
             job,
@@ -95,12 +95,12 @@
         };
         match parts.next() {
             None => Ok(task),
-            Some(_) => Err(NameError),
+            Some(_) => Err(ParseIdError),
         }
     }
 }
 
-/// Number of a task's start, rising from 1.
+/// Number of a run of a task, rising from 1 with each start.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -110,8 +110,8 @@
 /// One run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId {
-    /// The task.
+    /// Task that is run.
     pub task: TaskId,
-    /// Which of its starts.
+    /// Which run of the task.
     pub run: RunNumber,
 }
--- a/laurelstile-core/src/leased/worker_incarnation.rs
+++ b/laurelstile-core/src/leased/worker_incarnation.rs
@@ -1,33 +1,33 @@
-//! Names of workers' lives.
+//! Identity of a worker process across restarts.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// When a worker's process started, in milliseconds of Unix time by the clock of its machine.
+/// When a worker's process started, in milliseconds of Unix time by its machine's clock.
 ///
-/// It tells the starts of a worker apart, and nothing more: that clock may be set back, so a
-/// later start may have a smaller number.
+/// Only distinguishes the starts of a worker and does not order them: the clock may be set back, so
+/// that a later start has a smaller value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartTime(pub u64);
 
-/// Name of one life of a worker, from the start of its process to its end.
+/// One incarnation of a worker, from the start of its process to its end.
 ///
-/// A worker may start again under the id that it had. Whatever was known under the id (what runs,
-/// what has been acknowledged, its clock, its room, that it drains) is of one life only.
+/// A worker may restart under the same id. Whatever is known under the id (runs, acknowledgements,
+/// clock, resources, draining) applies to one incarnation only.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerIncarnation {
-    /// The worker's id.
+    /// The worker's id, which a restart may keep.
     pub id: Arc<str>,
-    /// When this life began; `None` for a worker that does not tell: its id is new with each
-    /// start.
+    /// When the process started; `None` for a worker that does not report it and takes a new id at
+    /// each start.
     #[serde(rename = "born", default, skip_serializing_if = "Option::is_none")]
     pub started_at: Option<StartTime>,
 }
 
 impl WorkerIncarnation {
-    /// The life of this worker that began at `born`.
+    /// The incarnation of the same worker that started at `started_at`.
     pub fn started_again_at(&self, started_at: StartTime) -> Self {
         Self {
             id: Arc::clone(&self.id),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Whether the worker may begin another life under the same id.
+    /// Whether the worker may restart under the same id.
     pub fn may_restart(&self) -> bool {
         self.started_at.is_some()
     }
 
-    /// Whether whoever began at `born` under this id is another life. A process that does not
-    /// tell its birth is not known to be.
+    /// Whether a process under this id that started at `started_at` is another incarnation. Not
+    /// known, and so `false`, if either start time is missing.
     pub fn is_other_incarnation(&self, started_at: Option<StartTime>) -> bool {
         match (self.started_at, started_at) {
             (Some(own), Some(other)) => own != other,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The life of a worker that does not tell when it began.
+/// An incarnation of a worker that does not report its start time.
 impl From<&str> for WorkerIncarnation {
     fn from(id: &str) -> Self {
         Self {
