--- a/laurelstile-core/src/leased/membership/digest.rs
+++ b/laurelstile-core/src/leased/membership/digest.rs
@@ -1,10 +1,10 @@
-//! Hashes by which gateways compare what they know of each other.
+//! Hashes by which gateways compare their directories.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Hash of a whole directory: the same at gateways that know the same.
+/// Hash of a whole directory; equal for directories with the same members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(pub u64);
@@ -15,7 +15,7 @@
     }
 }
 
-/// Hashes of the parts of a directory.
+/// Hashes of the parts of a directory, in their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PartDigests(pub Vec<u32>);
--- a/laurelstile-core/src/leased/membership/directory.rs
+++ b/laurelstile-core/src/leased/membership/directory.rs
@@ -1,4 +1,4 @@
-//! The gateways that a gateway knows, and where it knows them from.
+//! The gateways that a gateway knows, and the sources of that knowledge.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,105 +10,105 @@
 use super::rank;
 use crate::session::SessionId;
 
-/// A gateway of which peers alone tell counts as gone if the list, read so long
-/// afterwards, does not name it: it would have renewed its record twice.
-const TOLD_TRUST: Span = Span::from_secs(16);
-/// Parts of the directory that are compared one by one, so that two gateways that differ in
-/// one member exchange a part and not the whole.
+/// How long a claim by peers keeps a gateway in the directory that the list in the store does not
+/// contain: the gateway would have renewed its record twice by then.
+const CLAIM_TTL: Span = Span::from_secs(16);
+/// Number of parts that are compared separately, so that gateways whose directories differ in one
+/// member exchange one part and not the whole.
 const PARTS: usize = 64;
 
-/// Members that are told in one answer. Whoever lacks more asks again, with what it knows
-/// by then: long answers to several questions would tell the same several times.
-pub const MOST_TOLD: usize = 128;
+/// Maximum number of members in one answer. A gateway that lacks more asks again with its updated
+/// hashes, so that the answers of several neighbors overlap little.
+pub const MAX_MEMBERS_PER_ANSWER: usize = 128;
 
 /// Where a gateway is known from.
 #[derive(Debug, Default)]
 struct Sources {
     sessions: BTreeSet<SessionId>,
     is_listed: bool,
-    told_at: Option<Timestamp>,
+    claimed_at: Option<Timestamp>,
 }
 
-/// The gateways that are known, this one among them.
+/// The known gateways, including this one.
 #[derive(Debug)]
 pub struct Directory {
     own: Member,
     known: BTreeMap<Member, Sources>,
     parts: [u64; PARTS],
-    /// Members that have come since they were last taken.
-    arrivals: Vec<Member>,
-    /// Members that have gone since they were last taken.
-    departures: Vec<Member>,
+    /// Members added, or reconnected, since the last [`Self::take_changes`].
+    added: Vec<Member>,
+    /// Members removed since the last [`Self::take_changes`].
+    removed: Vec<Member>,
 }
 
 impl Directory {
-    /// A directory of one.
+    /// A directory that contains only the gateway itself.
     pub fn new(own: Member) -> Self {
         let mut directory = Self {
             own: own.clone(),
             known: BTreeMap::new(),
             parts: [0; PARTS],
-            arrivals: Vec::new(),
-            departures: Vec::new(),
+            added: Vec::new(),
+            removed: Vec::new(),
         };
         directory.sources(own).is_listed = true;
         directory
     }
 
-    /// How many members there are.
+    /// Number of members, including this gateway.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// All members.
+    /// All members, including this gateway, in order.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.known.keys()
     }
 
-    /// What has come since the last call, and what has gone.
+    /// Takes the members that were added and those that were removed since the last call.
     pub fn take_changes(&mut self) -> (Vec<Member>, Vec<Member>) {
-        let arrivals = std::mem::take(&mut self.arrivals);
-        (arrivals, std::mem::take(&mut self.departures))
+        let added = std::mem::take(&mut self.added);
+        (added, std::mem::take(&mut self.removed))
     }
 
-    /// Whether something has come or gone since.
+    /// Whether members were added or removed since the last [`Self::take_changes`].
     pub fn has_changes(&self) -> bool {
-        !self.arrivals.is_empty() || !self.departures.is_empty()
+        !self.added.is_empty() || !self.removed.is_empty()
     }
 
-    /// A member has a session with this gateway: it is where it says, and nowhere else.
-    /// Those that want sessions to it are to hear of it again if it had none.
-    pub fn meet(&mut self, session: SessionId, member: &Member) {
+    /// A member opened a session: entries of the same name with another address are dropped. If it
+    /// had no session before, it counts as added again, so that subscribers are notified of it.
+    pub fn on_session_opened(&mut self, session: SessionId, member: &Member) {
         let elsewhere = |known: &Member| known.name == member.name && known != member;
         let moved: Vec<Member> = self
             .members()
             .filter(|one| elsewhere(one))
             .cloned()
             .collect();
-        for former in moved {
-            if self.own != former {
-                self.remove(&former);
+        for old in moved {
+            if self.own != old {
+                self.remove(&old);
             }
         }
         let sources = self.sources(member.clone());
         let had_session = !sources.sessions.is_empty();
         sources.sessions.insert(session);
-        if !had_session && !self.arrivals.contains(member) {
-            self.arrivals.push(member.clone());
+        if !had_session && !self.added.contains(member) {
+            self.added.push(member.clone());
         }
     }
 
-    /// A session has ended. That its gateway is gone is not said.
-    pub fn part(&mut self, now: Timestamp, session: SessionId) {
+    /// A session has ended. Its gateway stays known for as long as one that peers claim.
+    pub fn on_session_closed(&mut self, now: Timestamp, session: SessionId) {
         for sources in self.known.values_mut() {
             if sources.sessions.remove(&session) {
-                sources.told_at = Some(now);
+                sources.claimed_at = Some(now);
             }
         }
     }
 
-    /// A page of the list of gateways was read. A record of this gateway's own name is one of
-    /// before its start, perhaps at another address.
+    /// Applies a page of the list in the store. A record with this gateway's own name stems from
+    /// before its start and may have an old address; it is ignored.
     pub fn read_page(&mut self, now: Timestamp, mut page: Page) {
         let own = self.own.clone();
         page.members.retain(|member| member.name != own.name);
@@ -118,9 +118,9 @@
                 continue;
             }
             sources.is_listed = page.members.contains(member);
-            let is_fresh = |told: Timestamp| now.since(told) < TOLD_TRUST;
-            let is_told = sources.told_at.is_some_and(is_fresh);
-            if !sources.is_listed && sources.sessions.is_empty() && !is_told {
+            let is_recent = |claimed: Timestamp| now.since(claimed) < CLAIM_TTL;
+            let is_claimed = sources.claimed_at.is_some_and(is_recent);
+            if !sources.is_listed && sources.sessions.is_empty() && !is_claimed {
                 gone.push(member.clone());
             }
         }
@@ -132,18 +132,18 @@
         }
     }
 
-    /// A peer names members. One that has a session here under the same name is known
-    /// better.
-    pub fn hear(&mut self, now: Timestamp, members: Vec<Member>) {
+    /// A peer claims that these members exist. Ignored for names that have a session here, whose
+    /// address is known for certain.
+    pub fn add_claimed(&mut self, now: Timestamp, members: Vec<Member>) {
         for member in members {
-            if self.is_met_elsewhere(&member) || self.known.contains_key(&member) {
+            if self.has_session_elsewhere(&member) || self.known.contains_key(&member) {
                 continue;
             }
-            self.sources(member).told_at = Some(now);
+            self.sources(member).claimed_at = Some(now);
         }
     }
 
-    fn is_met_elsewhere(&self, member: &Member) -> bool {
+    fn has_session_elsewhere(&self, member: &Member) -> bool {
         if member.name == self.own.name {
             return true;
         }
@@ -151,7 +151,7 @@
         known.any(|(other, sources)| other.name == member.name && !sources.sessions.is_empty())
     }
 
-    /// Hash of the whole.
+    /// Hash of the whole directory.
     pub fn digest(&self) -> Digest {
         Digest(
             self.parts
@@ -160,22 +160,22 @@
         )
     }
 
-    /// Hashes of the parts.
+    /// Hashes of the directory's parts.
     pub fn part_digests(&self) -> PartDigests {
-        PartDigests(self.parts.iter().map(|part| short(*part)).collect())
+        PartDigests(self.parts.iter().map(|part| upper_half(*part)).collect())
     }
 
-    /// The members of the parts in which another directory differs, [`MOST_TOLD`] of them at
-    /// the most. Each gateway begins at another part, so that what several are asked for in
-    /// turn is not the same.
+    /// The members of the parts in which another directory differs, at most
+    /// [`MAX_MEMBERS_PER_ANSWER`]. Each gateway begins at another part, so that the truncated
+    /// answers of several gateways differ.
     pub fn differing_from(&self, other: &PartDigests) -> Vec<Member> {
-        let differs = |part: usize| other.0.get(part) != Some(&short(self.parts[part]));
+        let differs = |part: usize| other.0.get(part) != Some(&upper_half(self.parts[part]));
         let first = part_of(&self.own);
         let members = self.members();
         let differing = members.filter(|member| differs(part_of(member)));
         let mut differing: Vec<&Member> = differing.collect();
         differing.sort_by_key(|member| (part_of(member) + PARTS - first) % PARTS);
-        differing.truncate(MOST_TOLD);
+        differing.truncate(MAX_MEMBERS_PER_ANSWER);
         differing.into_iter().cloned().collect()
     }
 
@@ -183,7 +183,7 @@
         if !self.known.contains_key(&member) {
             let part = &mut self.parts[part_of(&member)];
             *part = part.wrapping_add(rank::hash_of(&member));
-            self.arrivals.push(member.clone());
+            self.added.push(member.clone());
         }
         self.known.entry(member).or_default()
     }
@@ -192,7 +192,7 @@
         if self.known.remove(member).is_some() {
             let part = &mut self.parts[part_of(member)];
             *part = part.wrapping_sub(rank::hash_of(member));
-            self.departures.push(member.clone());
+            self.removed.push(member.clone());
         }
     }
 }
@@ -202,7 +202,7 @@
     usize::try_from(hash % PARTS as u64).unwrap_or(0)
 }
 
-/// The upper half of a hash.
-fn short(hash: u64) -> u32 {
+/// The upper 32 bits of a hash.
+fn upper_half(hash: u64) -> u32 {
     u32::try_from(hash >> u32::BITS).unwrap_or(u32::MAX)
 }
--- a/laurelstile-core/src/leased/membership/mod.rs
+++ b/laurelstile-core/src/leased/membership/mod.rs
@@ -1,28 +1,28 @@
-//! Which gateways there are, who keeps sessions to whom, and who is told what.
+//! Membership of gateways: which gateways exist, who keeps sessions to whom, and who is notified.
 //!
-//! | part | question |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`directory`], [`digest`] | which gateways does a gateway know, and where from? |
-//! | [`neighbors`] | to which of them does it keep sessions? |
-//! | [`page`] | how is the store's list read? |
-//! | [`exchange`] | how do neighbors find out that they know different ones? |
-//! | [`audience`] | which of them are agents told? |
-//! | [`subset`] | to which of those does an agent keep sessions? |
-//! | [`rank`] | the order that all of them choose by |
+//! | [`directory`], [`digest`] | the gateways that a gateway knows, and their hashes |
+//! | [`neighbors`] | the gateways to which a gateway keeps sessions |
+//! | [`page`] | the paged list of gateways in the store |
+//! | [`anti_entropy`] | synchronization of directories between neighbors |
+//! | [`subscribers`] | the gateways that agents are notified of |
+//! | [`subset`] | the gateways to which an agent keeps sessions |
+//! | [`rank`] | the order of preference that all of these use |
 //!
-//! Nothing here grows faster than the fleet: a gateway's sessions to others and what an
-//! agent is told have bounds; a directory has an entry for each gateway, is fetched once,
-//! and compared by hashes from then on. No promise rests on a directory being right or
-//! complete: agents alone decide what starts, and whoever dials a gateway that is not there
-//! takes the next in rank.
+//! Costs grow at most linearly with the fleet: a gateway's sessions to other gateways and the
+//! members that an agent is sent are bounded; a directory has one entry per gateway, is fetched
+//! once, and is then compared by hashes. No safety property depends on a directory being correct or
+//! complete: only agents decide what starts, and a process that cannot reach a gateway takes the
+//! next in rank.
 
-pub mod audience;
+pub mod anti_entropy;
 pub mod digest;
 pub mod directory;
-pub mod exchange;
 pub mod neighbors;
 pub mod page;
 pub mod rank;
+pub mod subscribers;
 pub mod subset;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,105 +31,105 @@
 
 use super::messages::{CandidateSummary, Introduction, Member, ToPeer};
 use crate::session::SessionId;
-use audience::Audience;
+use anti_entropy::AntiEntropy;
 use digest::{Digest, PartDigests};
 use directory::Directory;
-use exchange::Exchange;
 use neighbors::Neighbors;
 use page::Page;
+use subscribers::Subscribers;
 
-/// Pause between two looks at which sessions are wanted, while the directory changes.
-const LOOK_PAUSE: Span = Span::from_millis(50);
-/// How often is looked again while some that are wanted do not answer.
-const REVIEW: Span = Span::from_millis(2_000);
-/// How long a session that this gateway has dialed and does not want stays open.
-const RELEASE_PAUSE: Span = Span::from_millis(2_000);
+/// Minimum interval between two selections of neighbors while the directory changes.
+const SELECTION_INTERVAL: Span = Span::from_millis(50);
+/// Interval between selections while wanted neighbors do not answer.
+const REVIEW_INTERVAL: Span = Span::from_millis(2_000);
+/// Minimum age at which a session that this gateway dialed and does not want is closed.
+const MIN_SESSION_AGE: Span = Span::from_millis(2_000);
 
 /// A session to another gateway.
 #[derive(Debug)]
 struct Peer {
-    /// Who it is, once it has said so.
+    /// The peer, once it has introduced itself.
     member: Option<Member>,
     is_dialed: bool,
     opened: Timestamp,
 }
 
-/// What a gateway knows of the others.
+/// The membership as seen by one gateway.
 #[derive(Debug)]
 pub struct Membership {
     own: Member,
     directory: Directory,
     neighbors: Neighbors,
-    exchange: Exchange,
-    audience: Audience,
+    anti_entropy: AntiEntropy,
+    subscribers: Subscribers,
     peers: BTreeMap<SessionId, Peer>,
-    /// Whether the choice of neighbors has to be made again.
+    /// Whether neighbors have to be selected again.
     is_stale: bool,
-    looked_at: Option<Timestamp>,
-    /// When a session that is not wanted has been open for long enough to be closed.
-    release_at: Option<Timestamp>,
-    /// What the log was last told.
+    selected_at: Option<Timestamp>,
+    /// When the next unwanted session reaches the age at which it is closed.
+    close_due_at: Option<Timestamp>,
+    /// The view that was last reported.
     view: Option<View>,
 }
 
-/// How a gateway stands to the others, for the log. Gateways whose directories have the same
-/// hash know the same.
+/// Summary of a gateway's membership, for the log. Gateways with the same directory hash know the
+/// same members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Gateways that it knows, itself among them.
+    /// Number of known gateways, including itself.
     pub known: usize,
-    /// Gateways to which it wants sessions.
+    /// Number of gateways to which it wants sessions.
     pub wanted: usize,
-    /// Those of them with a session.
+    /// Number of the wanted gateways that have a session.
     pub answering: usize,
-    /// Hash of its directory.
+    /// Hash of the directory.
     pub directory: Digest,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Debug)]
 pub enum MembershipEffect {
-    /// An agent is to be told of gateways.
+    /// Send members to an agent.
     SendToAgent(SessionId, Vec<Member>),
-    /// A peer is to be sent a message.
+    /// Send a message to a peer.
     SendToPeer(SessionId, ToPeer),
-    /// These are to be dialed until they answer.
+    /// Dial these gateways, repeatedly until they answer.
     Dial {
-        /// The gateways.
+        /// The gateways to dial; replaces those of the effect before.
         members: Vec<Member>,
-        /// Whether others need not be dialed any more: enough sessions are there.
+        /// Whether enough sessions are open that dials of other gateways may be given up.
         is_settled: bool,
     },
-    /// A session is not wanted any more.
+    /// Close a session that is no longer wanted.
     Close(SessionId),
-    /// How this gateway stands to the others has changed.
+    /// The view has changed.
     Changed(View),
 }
 
 impl Membership {
-    /// A gateway that knows no other.
+    /// The membership of a gateway that knows only itself.
     pub fn new(own: Member) -> Self {
         Self {
             directory: Directory::new(own.clone()),
-            audience: Audience::new(own.clone()),
+            subscribers: Subscribers::new(own.clone()),
             own,
             neighbors: Neighbors::default(),
-            exchange: Exchange::default(),
+            anti_entropy: AntiEntropy::default(),
             peers: BTreeMap::new(),
             is_stale: false,
-            looked_at: None,
-            release_at: None,
+            selected_at: None,
+            close_due_at: None,
             view: None,
         }
     }
 
-    /// All gateways that are known, this one among them.
+    /// All known gateways, including this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.directory.members()
     }
 
-    /// A session to a peer was opened, dialed by this side or by the other. Gives what it
-    /// has to be told first.
+    /// A session to a peer was opened, dialed by this side if `is_dialed`. Returns the introduction
+    /// to be sent first.
     pub fn on_peer_opened(
         &mut self,
         now: Timestamp,
@@ -145,8 +145,8 @@
         Introduction::new(&self.own, self.directory.digest())
     }
 
-    /// A peer says who it is. One that does not compare directories, since it is of an
-    /// earlier build, is told the whole list once.
+    /// A peer introduced itself. An older version, which does not compare directories, is sent all
+    /// members once.
     pub fn on_introduction(
         &mut self,
         session: SessionId,
@@ -156,9 +156,9 @@
         let directory = introduction.directory;
         let member = introduction.into_member();
         let own = self.directory.digest();
-        self.exchange.open(session, directory, own);
+        self.anti_entropy.on_opened(session, directory, own);
         if member.name != self.own.name {
-            self.directory.meet(session, &member);
+            self.directory.on_session_opened(session, &member);
             peer.member = Some(member);
         }
         self.is_stale = true;
@@ -175,116 +175,123 @@
     /// A session to a peer was closed.
     pub fn on_peer_closed(&mut self, now: Timestamp, session: SessionId) {
         self.peers.remove(&session);
-        self.exchange.close(session);
-        self.directory.part(now, session);
+        self.anti_entropy.on_closed(session);
+        self.directory.on_session_closed(now, session);
         self.is_stale = true;
     }
 
-    /// A peer tells the hash of its directory.
+    /// A peer sent the hash of its directory.
     pub fn on_digest(&mut self, session: SessionId, digest: Digest) {
-        self.exchange.hear(session, digest);
+        self.anti_entropy.on_digest(session, digest);
     }
 
-    /// A peer asks for the parts in which its directory differs.
+    /// A peer requests the parts in which its directory differs. Returns the answer.
     pub fn on_members_wanted(&self, session: SessionId, parts: &PartDigests) -> MembershipEffect {
         let members = self.directory.differing_from(parts);
         MembershipEffect::SendToPeer(session, ToPeer::Members(members))
     }
 
-    /// A peer names members.
+    /// A peer sent members.
     pub fn on_members(&mut self, now: Timestamp, session: SessionId, members: Vec<Member>) {
-        let is_whole = members.len() < directory::MOST_TOLD;
-        self.exchange.note_answer(session, is_whole);
-        self.directory.hear(now, members);
+        let is_complete = members.len() < directory::MAX_MEMBERS_PER_ANSWER;
+        self.anti_entropy.on_answer(session, is_complete);
+        self.directory.add_claimed(now, members);
     }
 
-    /// A page of the store's list was read.
+    /// A page of the list in the store was read.
     pub fn on_list_page(&mut self, now: Timestamp, page: Page) {
         self.directory.read_page(now, page);
     }
 
-    /// An agent says which gateways it seeks.
-    pub fn on_candidates(&mut self, session: SessionId, agent: &str, sought: &CandidateSummary) {
-        self.audience.join(session, agent, sought, &self.directory);
+    /// An agent sent the summary of its candidates.
+    pub fn on_candidates(&mut self, session: SessionId, agent: &str, summary: &CandidateSummary) {
+        self.subscribers
+            .subscribe(session, agent, summary, &self.directory);
     }
 
-    /// An agent tells its zone with what its worker is. One of an earlier build has not said
-    /// what it seeks.
+    /// An agent's snapshot named its zone. Subscribes an agent of an older version, which sends no
+    /// summary.
     pub fn on_zone_reported(&mut self, session: SessionId, agent: &str, zone: &str) {
-        if !self.audience.has(session) {
-            let sought = CandidateSummary {
+        if !self.subscribers.contains(session) {
+            let summary = CandidateSummary {
                 zone: zone.to_owned(),
-                known: 0,
+                digest: 0,
                 count: 0,
             };
-            self.on_candidates(session, agent, &sought);
+            self.on_candidates(session, agent, &summary);
         }
     }
 
     /// A session to an agent was closed.
     pub fn on_agent_closed(&mut self, session: SessionId) {
-        self.audience.leave(session);
+        self.subscribers.unsubscribe(session);
     }
 
-    /// Does what is due.
+    /// Performs the actions that are due.
     pub fn flush(&mut self, now: Timestamp) -> Vec<MembershipEffect> {
         let mut effects = Vec::new();
         if self.directory.has_changes() {
-            let (arrivals, departures) = self.directory.take_changes();
-            self.audience.note_arrivals(&arrivals);
-            self.audience.note_departures(&departures, &self.directory);
+            let (added, removed) = self.directory.take_changes();
+            self.subscribers.on_added(&added);
+            self.subscribers.on_removed(&removed, &self.directory);
             self.is_stale = true;
         }
-        if self.looks_at().is_some_and(|at| now >= at) {
-            self.look(now, &mut effects);
+        if self.selection_due_at().is_some_and(|at| now >= at) {
+            self.select_neighbors(now, &mut effects);
         }
-        let due = self.exchange.take_due(now, self.directory.digest());
-        for session in due.tell {
+        let due = self.anti_entropy.take_due(now, self.directory.digest());
+        for session in due.digest_to {
             let message = ToPeer::Digest(self.directory.digest());
             effects.push(MembershipEffect::SendToPeer(session, message));
         }
-        if let Some(session) = due.ask {
+        if let Some(session) = due.request_from {
             let message = ToPeer::MembersWanted(self.directory.part_digests());
             effects.push(MembershipEffect::SendToPeer(session, message));
         }
-        for (session, members) in self.audience.take_news(now) {
+        for (session, members) in self.subscribers.take_updates(now) {
             effects.push(MembershipEffect::SendToAgent(session, members));
         }
         effects
     }
 
-    /// When time alone makes something due.
+    /// When [`Self::flush`] is next due without further events.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let exchange = self.exchange.due_at(self.directory.digest());
-        let due = [self.looks_at(), exchange, self.audience.due_at()];
+        let anti_entropy = self.anti_entropy.due_at(self.directory.digest());
+        let due = [
+            self.selection_due_at(),
+            anti_entropy,
+            self.subscribers.due_at(),
+        ];
         due.into_iter().flatten().min()
     }
 
-    /// When to look again which sessions are wanted.
-    fn looks_at(&self) -> Option<Timestamp> {
-        let Some(looked_at) = self.looked_at else {
+    /// When neighbors have to be selected next.
+    fn selection_due_at(&self) -> Option<Timestamp> {
+        let Some(selected_at) = self.selected_at else {
             return self.is_stale.then(Timestamp::default);
         };
         if self.is_stale {
-            return Some(looked_at.after(LOOK_PAUSE));
+            return Some(selected_at.after(SELECTION_INTERVAL));
         }
         let review = self.neighbors.due_at().map(|silent| {
-            let substitute = (silent > looked_at).then_some(silent);
-            substitute.unwrap_or_else(|| looked_at.after(REVIEW))
+            let substitute = (silent > selected_at).then_some(silent);
+            substitute.unwrap_or_else(|| selected_at.after(REVIEW_INTERVAL))
         });
-        [review, self.release_at].into_iter().flatten().min()
+        [review, self.close_due_at].into_iter().flatten().min()
     }
 
-    fn look(&mut self, now: Timestamp, effects: &mut Vec<MembershipEffect>) {
+    fn select_neighbors(&mut self, now: Timestamp, effects: &mut Vec<MembershipEffect>) {
         self.is_stale = false;
-        self.looked_at = Some(now);
-        self.release_at = None;
-        let met = self.peers.values().filter_map(|peer| peer.member.clone());
-        let met: BTreeSet<Member> = met.collect();
-        let wanted = self.neighbors.wanted(now, &self.own, &self.directory, &met);
-        let answering = wanted.intersection(&met).count();
+        self.selected_at = Some(now);
+        self.close_due_at = None;
+        let connected = self.peers.values().filter_map(|peer| peer.member.clone());
+        let connected: BTreeSet<Member> = connected.collect();
+        let wanted = self
+            .neighbors
+            .wanted(now, &self.own, &self.directory, &connected);
+        let answering = wanted.intersection(&connected).count();
         let is_settled = !wanted.is_empty() && answering * 2 >= wanted.len();
-        let to_dial = wanted.iter().filter(|member| !self.has_dialed_us(member));
+        let to_dial = wanted.iter().filter(|member| !self.has_dialed_here(member));
         effects.push(MembershipEffect::Dial {
             members: to_dial.cloned().collect(),
             is_settled,
@@ -303,14 +310,14 @@
         }
     }
 
-    /// Whether a member has a session that it has dialed itself.
-    fn has_dialed_us(&self, member: &Member) -> bool {
+    /// Whether a member has a session here that it dialed.
+    fn has_dialed_here(&self, member: &Member) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| !peer.is_dialed && peer.member.as_ref() == Some(member))
     }
 
-    /// Closes the sessions that this gateway has dialed and does not want, such as those to
-    /// its seeds. What others have dialed is theirs.
+    /// Closes sessions that this gateway dialed and does not want, such as those to its seeds.
+    /// Sessions that peers dialed are theirs to close.
     fn close_unwanted(
         &mut self,
         now: Timestamp,
@@ -322,12 +329,14 @@
             peer.is_dialed && member.is_some_and(|member| !wanted.contains(member))
         };
         for (session, peer) in self.peers.iter().filter(|(_, peer)| is_unwanted(peer)) {
-            let release_at = peer.opened.after(RELEASE_PAUSE);
-            if now >= release_at {
+            let close_due_at = peer.opened.after(MIN_SESSION_AGE);
+            if now >= close_due_at {
                 effects.push(MembershipEffect::Close(*session));
             } else {
-                let first = self.release_at.map_or(release_at, |at| at.min(release_at));
-                self.release_at = Some(first);
+                let first = self
+                    .close_due_at
+                    .map_or(close_due_at, |at| at.min(close_due_at));
+                self.close_due_at = Some(first);
             }
         }
     }
--- a/laurelstile-core/src/leased/membership/neighbors.rs
+++ b/laurelstile-core/src/leased/membership/neighbors.rs
@@ -1,9 +1,9 @@
-//! Which other gateways a gateway keeps sessions to.
+//! Selection of the gateways to which a gateway keeps sessions.
 //!
-//! News travel from neighbor to neighbor, so a gateway needs a few sessions and not one to
-//! each. It dials the gateway that follows it on a ring of all names, which joins all that
-//! know of each other, and some that it ranks first, of its own zone and of others, which
-//! make the ways short and many: a gateway that is lost, or slow, cuts none off.
+//! Updates are forwarded from neighbor to neighbor, so a gateway needs only a few sessions. It
+//! dials its successor on a ring of hashed names, which connects all gateways that know each other,
+//! and some that it ranks first in its own and in other zones. The latter keep paths short and
+//! redundant, so that the loss of a gateway partitions no others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,66 +13,77 @@
 use super::directory::Directory;
 use super::rank;
 
-/// Gateways of its own zone that a gateway dials, by rank.
-const IN_ZONE: usize = 3;
-/// Gateways of other zones.
-const BEYOND_ZONE: usize = 2;
-/// Gateways that follow it on the ring.
-const SUCCESSORS: usize = 1;
-/// Up to so many others there is no choice to be made.
-const ALL: usize = IN_ZONE + BEYOND_ZONE + SUCCESSORS;
+/// Number of gateways of the own zone that are dialed, by rank.
+const OWN_ZONE_NEIGHBORS: usize = 3;
+/// Number of gateways of other zones that are dialed, by rank.
+const OTHER_ZONE_NEIGHBORS: usize = 2;
+/// Number of successors on the ring that are dialed.
+const RING_SUCCESSORS: usize = 1;
+/// Up to this many other gateways, all of them are dialed.
+const ALL_NEIGHBORS: usize = OWN_ZONE_NEIGHBORS + OTHER_ZONE_NEIGHBORS + RING_SUCCESSORS;
 
-/// The choice of a gateway, and since when it waits for each.
+/// The selection of neighbors, with the time since when each unconnected one is wanted.
 #[derive(Debug, Default)]
 pub struct Neighbors {
-    sought_since: BTreeMap<Member, Timestamp>,
+    unconnected_since: BTreeMap<Member, Timestamp>,
 }
 
 impl Neighbors {
-    /// The gateways to which sessions are wanted, where those `met` have one.
+    /// The gateways to which sessions are wanted; those in `connected` have one.
     pub fn wanted(
         &mut self,
         now: Timestamp,
         own: &Member,
         directory: &Directory,
-        met: &BTreeSet<Member>,
+        connected: &BTreeSet<Member>,
     ) -> BTreeSet<Member> {
         let others = directory.members().filter(|one| one.name != own.name);
         let others: Vec<&Member> = others.collect();
-        let wanted = if others.len() <= ALL {
+        let wanted = if others.len() <= ALL_NEIGHBORS {
             others.into_iter().cloned().collect()
         } else {
             self.choose(now, own, &others)
         };
-        self.sought_since
-            .retain(|member, _| wanted.contains(member) && !met.contains(member));
-        for member in wanted.difference(met) {
-            self.sought_since.entry(member.clone()).or_insert(now);
+        self.unconnected_since
+            .retain(|member, _| wanted.contains(member) && !connected.contains(member));
+        for member in wanted.difference(connected) {
+            self.unconnected_since.entry(member.clone()).or_insert(now);
         }
         wanted
     }
 
-    /// When the choice has to be looked at again, if some do not answer.
+    /// When the selection has to be repeated because wanted gateways may need substitutes.
     pub fn due_at(&self) -> Option<Timestamp> {
-        let first = self.sought_since.values().min();
+        let first = self.unconnected_since.values().min();
         first.map(|since| since.after(rank::SUBSTITUTE_AFTER))
     }
 
     fn choose(&self, now: Timestamp, own: &Member, others: &[&Member]) -> BTreeSet<Member> {
-        let own_place = rank::hash_of_name(&own.name);
-        let on_ring = |member: &Member| rank::hash_of_name(&member.name).wrapping_sub(own_place);
-        let is_near = |member: &&&Member| member.zone == own.zone;
+        let own_position = rank::hash_of_name(&own.name);
+        let ring_distance =
+            |member: &Member| rank::hash_of_name(&member.name).wrapping_sub(own_position);
+        let is_own_zone = |member: &&&Member| member.zone == own.zone;
         let by_rank = |member: &Member| !rank::affinity(&own.name, &member.name);
-        let near = others.iter().filter(is_near).copied().collect();
-        let far = others.iter().filter(|one| !is_near(one)).copied().collect();
+        let own_zone = others.iter().filter(is_own_zone).copied().collect();
+        let other_zones = others
+            .iter()
+            .filter(|one| !is_own_zone(one))
+            .copied()
+            .collect();
         let mut wanted = BTreeSet::new();
-        self.add_first(now, others.to_vec(), on_ring, SUCCESSORS, &mut wanted);
-        self.add_first(now, near, by_rank, IN_ZONE, &mut wanted);
-        self.add_first(now, far, by_rank, BEYOND_ZONE, &mut wanted);
+        self.add_first(
+            now,
+            others.to_vec(),
+            ring_distance,
+            RING_SUCCESSORS,
+            &mut wanted,
+        );
+        self.add_first(now, own_zone, by_rank, OWN_ZONE_NEIGHBORS, &mut wanted);
+        self.add_first(now, other_zones, by_rank, OTHER_ZONE_NEIGHBORS, &mut wanted);
         wanted
     }
 
-    /// Adds the first `count` in an order, and those before them that do not answer.
+    /// Adds the first `count` members of an order that answer, and those before them that do not.
     fn add_first(
         &self,
         now: Timestamp,
@@ -82,11 +93,11 @@
         wanted: &mut BTreeSet<Member>,
     ) {
         members.sort_by_cached_key(|member| order(member));
-        let is_silent = |member: &&Member| {
-            let sought_since = self.sought_since.get(*member).copied();
-            rank::is_silent(now, sought_since)
+        let needs_substitute = |member: &&Member| {
+            let unconnected_since = self.unconnected_since.get(*member).copied();
+            rank::needs_substitute(now, unconnected_since)
         };
-        let (first, _) = rank::first_answering(members, count, is_silent);
+        let (first, _) = rank::first_answering(members, count, needs_substitute);
         wanted.extend(first.into_iter().cloned());
     }
 }
--- a/laurelstile-core/src/leased/membership/rank.rs
+++ b/laurelstile-core/src/leased/membership/rank.rs
@@ -1,7 +1,7 @@
-//! The order in which a process prefers gateways: the same for whoever computes it.
+//! The order in which a process prefers gateways, by rendezvous hashing.
 //!
-//! Rendezvous hashing: processes choose differently and alone, each gateway is chosen as
-//! often as any other, and one that comes or goes concerns only those that rank it first.
+//! Processes choose independently, each gateway is chosen equally often, and a gateway that joins
+//! or leaves affects only the processes that rank it among their first.
 
 use std::hash::{Hash, Hasher};
 
@@ -10,31 +10,32 @@
 
 use super::super::messages::Member;
 
-/// Seed of all hashes. Processes of different builds must agree, so it stays.
+/// Seed of all hashes. Processes of different versions must agree on it.
 const SEED: u64 = 0;
 
-/// Gateways of an agent's own zone that it keeps sessions to.
-pub const IN_ZONE: usize = 10;
-/// Gateways of other zones.
-pub const BEYOND_ZONE: usize = 6;
-/// Gateways that an agent is told besides, for those that do not answer.
-const SPARE: usize = 4;
+/// Number of gateways of its own zone to which an agent keeps sessions.
+pub const OWN_ZONE_SESSIONS: usize = 10;
+/// Number of gateways of other zones to which an agent keeps sessions.
+pub const OTHER_ZONE_SESSIONS: usize = 6;
+/// Number of further candidates, as substitutes for gateways that do not answer.
+const SUBSTITUTES: usize = 4;
 
-/// A gateway that has been dialed for so long without success is replaced by the next in
-/// order, until it answers.
+/// How long a gateway is dialed without success before the next in rank substitutes it, until it
+/// answers.
 pub const SUBSTITUTE_AFTER: Span = Span::from_millis(800);
 
-/// Whether a gateway that is sought since then, if it is sought, needs a substitute.
-pub fn is_silent(now: Timestamp, sought_since: Option<Timestamp>) -> bool {
-    sought_since.is_some_and(|since| now.since(since) > SUBSTITUTE_AFTER)
+/// Whether a gateway that has been wanted and unconnected since that time needs a substitute;
+/// `None` if it is connected.
+pub fn needs_substitute(now: Timestamp, unconnected_since: Option<Timestamp>) -> bool {
+    unconnected_since.is_some_and(|since| now.since(since) > SUBSTITUTE_AFTER)
 }
 
-/// The first `count` in an order that answer, as far as is known, and those before them that
-/// do not; and how many of them answer.
+/// The first `count` gateways of an order that answer, together with those before them that do not;
+/// and how many answer.
 pub fn first_answering<T>(
     ordered: impl IntoIterator<Item = T>,
     count: usize,
-    is_silent: impl Fn(&T) -> bool,
+    needs_substitute: impl Fn(&T) -> bool,
 ) -> (Vec<T>, usize) {
     let mut chosen = Vec::new();
     let mut answering = 0;
@@ -42,55 +43,53 @@
         if answering == count {
             break;
         }
-        answering += usize::from(!is_silent(&gateway));
+        answering += usize::from(!needs_substitute(&gateway));
         chosen.push(gateway);
     }
     (chosen, answering)
 }
 
-/// How much a process prefers a gateway: the same for the same pair, without order
-/// otherwise.
+/// Preference of a process for a gateway: deterministic for a pair, and otherwise uniform.
 pub fn affinity(process: &str, gateway: &str) -> u64 {
     let mut hasher = XxHash64::with_seed(SEED);
     (process, gateway).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Hash of a member: the same at each gateway that knows it.
+/// Hash of a member, equal at all gateways.
 pub fn hash_of(member: &Member) -> u64 {
     let mut hasher = XxHash64::with_seed(SEED);
     member.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Hash of a name alone: its place on the ring.
+/// Hash of a name: its position on the ring.
 pub fn hash_of_name(name: &str) -> u64 {
     XxHash64::oneshot(SEED, name.as_bytes())
 }
 
-/// The gateways that an agent may want sessions to: the first in its rank, of its own zone
-/// and of others, and some for those that do not answer. Their number has a bound, whatever
-/// the size of the fleet.
+/// The gateways to which an agent may want sessions: the first in its rank of its own and of other
+/// zones, and substitutes for those that do not answer. Bounded independently of the fleet's size.
 #[derive(Clone, Debug)]
 pub struct Candidates {
     agent: String,
     zone: String,
-    near: Vec<(u64, Member)>,
-    far: Vec<(u64, Member)>,
+    own_zone: Vec<(u64, Member)>,
+    other_zones: Vec<(u64, Member)>,
 }
 
 impl Candidates {
-    /// None yet, for an agent in a zone.
+    /// No candidates, for an agent in a zone.
     pub fn new(agent: &str, zone: &str) -> Self {
         Self {
             agent: agent.to_owned(),
             zone: zone.to_owned(),
-            near: Vec::new(),
-            far: Vec::new(),
+            own_zone: Vec::new(),
+            other_zones: Vec::new(),
         }
     }
 
-    /// Those among some gateways, for an agent in a zone.
+    /// The candidates among `members`, for an agent in a zone.
     pub fn among<'a>(
         agent: &str,
         zone: &str,
@@ -98,46 +97,49 @@
     ) -> Self {
         let mut candidates = Self::new(agent, zone);
         for member in members {
-            candidates.offer(member);
+            candidates.insert(member);
         }
         candidates
     }
 
-    /// Those among other gateways, for the same agent.
-    pub fn chosen_again<'a>(&self, members: impl IntoIterator<Item = &'a Member>) -> Self {
+    /// The candidates among `members`, for the same agent.
+    pub fn reselected<'a>(&self, members: impl IntoIterator<Item = &'a Member>) -> Self {
         Self::among(&self.agent, &self.zone, members)
     }
 
-    /// Takes in a gateway.
-    pub fn offer(&mut self, member: &Member) {
+    /// Adds a gateway, if it ranks high enough.
+    pub fn insert(&mut self, member: &Member) {
         let affinity = affinity(&self.agent, &member.name);
-        let (ranked, most) = if member.zone == self.zone {
-            (&mut self.near, IN_ZONE + SPARE)
+        let (ranked, limit) = if member.zone == self.zone {
+            (&mut self.own_zone, OWN_ZONE_SESSIONS + SUBSTITUTES)
         } else {
-            // A zone without gateways that answer leaves all to the others.
-            (&mut self.far, IN_ZONE + BEYOND_ZONE)
+            // If no gateway of the own zone answers, other zones provide all sessions.
+            (
+                &mut self.other_zones,
+                OWN_ZONE_SESSIONS + OTHER_ZONE_SESSIONS,
+            )
         };
         let entry = (affinity, member.clone());
-        let place = ranked.partition_point(|known| *known > entry);
-        if place >= most || ranked.get(place) == Some(&entry) {
+        let position = ranked.partition_point(|known| *known > entry);
+        if position >= limit || ranked.get(position) == Some(&entry) {
             return;
         }
-        ranked.insert(place, entry);
-        ranked.truncate(most);
+        ranked.insert(position, entry);
+        ranked.truncate(limit);
     }
 
-    /// Whether a gateway is among them.
+    /// Whether a gateway is a candidate.
     pub fn contains(&self, member: &Member) -> bool {
         self.iter().any(|known| known == member)
     }
 
-    /// All of them.
+    /// All candidates: the own zone first, each by descending preference.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
-        let ranked = self.near.iter().chain(&self.far);
+        let ranked = self.own_zone.iter().chain(&self.other_zones);
         ranked.map(|(_, member)| member)
     }
 
-    /// Hash of all of them together.
+    /// Hash of the set of candidates.
     pub fn digest(&self) -> u64 {
         let hashes = self.iter().map(hash_of);
         hashes.fold(0, u64::wrapping_add)
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -1,51 +1,51 @@
-//! Which gateways an agent keeps sessions to.
+//! Selection of the gateways to which an agent keeps sessions.
 //!
-//! Each change of a worker's room is told to every gateway with a session, so with sessions
-//! from all to all the messages grow with the product of both. An agent therefore keeps
-//! sessions to a subset: gateways of its own zone first, and some of other zones, so that room
-//! is shared where a zone has too little or loses its gateways. The subset is chosen by
-//! [`rank`](super::rank): agents choose differently and alone, each gateway gets as many agents
-//! as any other, and a gateway that comes or goes moves only the sessions that concern it.
+//! Each change of a worker's resources is sent to every gateway with a session, so with sessions
+//! between all gateways and agents the messages would grow with the product of both. An agent
+//! therefore keeps sessions to a subset: gateways of its own zone first, and some of other zones,
+//! so that resources are shared where a zone has too few or loses its gateways. The subset is
+//! chosen by [`rank`](super::rank), which spreads agents evenly over gateways and moves few
+//! sessions when a gateway joins or leaves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use laurelstile_types::time::Timestamp;
 
 use super::super::messages::{CandidateSummary, FromAgent, FromAgentBody, Member};
-use super::rank::{self, BEYOND_ZONE, Candidates, IN_ZONE, affinity};
+use super::rank::{self, Candidates, OTHER_ZONE_SESSIONS, OWN_ZONE_SESSIONS, affinity};
 
-/// Up to so many gateways in all there is no choice to be made.
-const ALL: usize = IN_ZONE + BEYOND_ZONE;
+/// Up to this many known gateways, all of them are wanted.
+const ALL_SESSIONS: usize = OWN_ZONE_SESSIONS + OTHER_ZONE_SESSIONS;
 
-/// What an agent knows of a gateway.
+/// A gateway that an agent knows.
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownGateway {
     member: Member,
     /// Since when it has been wanted and not connected.
-    sought_since: Option<Timestamp>,
+    unconnected_since: Option<Timestamp>,
 }
 
-/// Gateways of a zone, or of others, that are wanted.
+/// Gateways selected in the agent's zone, or in other zones.
 #[derive(Debug)]
-struct Chosen {
+struct Selection {
     names: Vec<String>,
-    /// How many of them answer, as far as is known.
+    /// How many of them answer, as other_zones as is known.
     answering: usize,
 }
 
-/// The gateways that an agent knows, and the subset that it wants sessions to.
+/// The gateways that an agent knows, and its selection among them.
 #[derive(Debug)]
 pub struct Subset {
-    /// Name and zone of the agent.
+    /// Name of the agent.
     name: String,
     zone: String,
-    known: BTreeMap<String, Known>,
-    /// Names of the gateways with a session, also of those that nobody has named yet.
+    known: BTreeMap<String, KnownGateway>,
+    /// Names of the gateways with a session, including seeds that no list has named yet.
     connected: BTreeSet<String>,
 }
 
 impl Subset {
-    /// An agent that knows no gateway.
+    /// The subset of an agent that knows no gateway.
     pub fn new(name: String, zone: String) -> Self {
         Self {
             name,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Gateways were named. A name that was known at another address has moved.
+    /// Adds gateways. A known name with a new address replaces the old entry.
     pub fn add_members(&mut self, members: Vec<Member>) {
         for member in members {
             let has_moved = self
@@ -63,17 +63,17 @@
                 .get(&member.name)
                 .is_none_or(|known| known.member.address != member.address);
             if has_moved {
-                let known = Known {
+                let known = KnownGateway {
                     member,
-                    sought_since: None,
+                    unconnected_since: None,
                 };
                 self.known.insert(known.member.name.clone(), known);
             }
         }
     }
 
-    /// The first message of a session to a gateway, which tells the agent then of those
-    /// that it ranks first and does not know.
+    /// The first message of a session to a gateway, with the summary by which the gateway decides
+    /// which candidates to send.
     pub fn first_message(&self, now: Timestamp) -> FromAgent {
         let known = self.known.values().map(|known| &known.member);
         let candidates = Candidates::among(&self.name, &self.zone, known);
@@ -83,7 +83,7 @@
             offers: Vec::new(),
             candidates: Some(CandidateSummary {
                 zone: self.zone.clone(),
-                known: candidates.digest(),
+                digest: candidates.digest(),
                 count: candidates.iter().count(),
             }),
             body: FromAgentBody::Heartbeat,
@@ -98,26 +98,25 @@
             self.connected.remove(name);
         }
         if let Some(known) = self.known.get_mut(name) {
-            known.sought_since = None;
+            known.unconnected_since = None;
         }
     }
 
-    /// A gateway did not answer for so long that it counts as gone, until somebody names
-    /// it anew.
+    /// Removes an unconnected gateway that has not answered for too long, until it is named again.
     pub fn forget(&mut self, address: std::net::SocketAddr) {
         let connected = &self.connected;
         self.known
             .retain(|name, known| connected.contains(name) || known.member.address != address);
     }
 
-    /// Whether a session to the gateway of that name is among the `wanted`; one that
-    /// nobody has named yet is kept.
+    /// Whether to keep the session to the gateway of that name: if it is `wanted`, or is not known
+    /// by name yet.
     pub fn should_keep(&self, wanted: &[Member], name: &str) -> bool {
         !self.known.contains_key(name) || wanted.iter().any(|member| member.name == name)
     }
 
-    /// Whether sessions that are not wanted may go: at least half of the `wanted` ones are
-    /// there, and some are wanted at all.
+    /// Whether sessions that are not wanted may be closed: some are wanted, and at least half of
+    /// those are connected.
     pub fn is_settled(&self, wanted: &[Member]) -> bool {
         let is_connected = |member: &&Member| self.connected.contains(&member.name);
         let connected = wanted.iter().filter(is_connected).count();
@@ -126,20 +125,20 @@
 
     /// The gateways to which sessions are wanted.
     pub fn wanted(&mut self, now: Timestamp) -> Vec<Member> {
-        let names = if self.known.len() <= ALL {
+        let names = if self.known.len() <= ALL_SESSIONS {
             self.known.keys().cloned().collect()
         } else {
-            let mut near = self.first_in_rank(now, true, IN_ZONE);
-            // A zone with few gateways that answer leaves more to the others.
-            let far = self.first_in_rank(now, false, ALL - near.answering);
-            near.names.extend(far.names);
-            near.names
+            let mut own_zone = self.first_in_rank(now, true, OWN_ZONE_SESSIONS);
+            // If few gateways of the own zone answer, other zones provide more.
+            let other_zones = self.first_in_rank(now, false, ALL_SESSIONS - own_zone.answering);
+            own_zone.names.extend(other_zones.names);
+            own_zone.names
         };
         let mut wanted = Vec::with_capacity(names.len());
         for name in names {
             if let Some(known) = self.known.get_mut(&name) {
                 if !self.connected.contains(&name) {
-                    known.sought_since.get_or_insert(now);
+                    known.unconnected_since.get_or_insert(now);
                 }
                 wanted.push(known.member.clone());
             }
@@ -147,10 +146,10 @@
         wanted
     }
 
-    /// The first `count` gateways of the own zone, or of others, and those before them
-    /// that do not answer.
-    fn first_in_rank(&self, now: Timestamp, is_own_zone: bool, count: usize) -> Chosen {
-        let mut ranked: Vec<(u64, &Known)> = self
+    /// The first `count` gateways of the own zone, or of other zones, that answer, and those before
+    /// them that do not.
+    fn first_in_rank(&self, now: Timestamp, is_own_zone: bool, count: usize) -> Selection {
+        let mut ranked: Vec<(u64, &KnownGateway)> = self
             .known
             .values()
             .filter(|known| (known.member.zone == self.zone) == is_own_zone)
@@ -158,10 +157,11 @@
             .collect();
         ranked.sort_unstable_by_key(|(affinity, _)| std::cmp::Reverse(*affinity));
         let ranked = ranked.into_iter().map(|(_, known)| known);
-        let is_silent = |known: &&Known| rank::is_silent(now, known.sought_since);
-        let (first, answering) = rank::first_answering(ranked, count, is_silent);
+        let needs_substitute =
+            |known: &&KnownGateway| rank::needs_substitute(now, known.unconnected_since);
+        let (first, answering) = rank::first_answering(ranked, count, needs_substitute);
         let names = first.into_iter().map(|known| known.member.name.clone());
-        Chosen {
+        Selection {
             names: names.collect(),
             answering,
         }
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -417,7 +417,7 @@
     pub zone: String,
     /// Hash of the candidates among the gateways that the agent knows.
     #[serde(rename = "k")]
-    pub known: u64,
+    pub digest: u64,
     /// Number of these candidates.
     #[serde(rename = "n")]
     pub count: usize,
--- a/laurelstile-core/tests/leased_members.rs
+++ b/laurelstile-core/tests/leased_members.rs
@@ -74,7 +74,7 @@
     assert_eq!(names.len(), distinct.len(), "each gateway once");
     let mut candidates = Candidates::new("agent-1", "here");
     for number in 1..=54 {
-        candidates.offer(&other(number));
+        candidates.insert(&other(number));
     }
     let mut wanted = candidates.iter().map(|member| &member.name);
     assert!(wanted.all(|name| distinct.contains(name)));
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -314,7 +314,7 @@
 #[test]
 fn a_member_of_which_only_peers_told_expires_with_the_list() {
     let mut directory = Directory::new(member(0));
-    directory.hear(at(0), vec![member(1), member(2)]);
+    directory.add_claimed(at(0), vec![member(1), member(2)]);
     directory.read_page(at(8_000), page(vec![member(1)]));
     assert_eq!(
         known(&directory),
@@ -350,12 +350,12 @@
         ..member(1)
     };
     let mut directory = Directory::new(member(0));
-    directory.hear(at(0), vec![member(1)]);
-    directory.hear(at(1), vec![moved.clone()]);
+    directory.add_claimed(at(0), vec![member(1)]);
+    directory.add_claimed(at(1), vec![moved.clone()]);
     assert_eq!(known(&directory), ["1", "2", "900"]);
-    directory.meet(SessionId(1), &moved);
+    directory.on_session_opened(SessionId(1), &moved);
     assert_eq!(known(&directory), ["1", "900"]);
-    directory.hear(at(2), vec![member(1)]);
+    directory.add_claimed(at(2), vec![member(1)]);
     assert_eq!(known(&directory), ["1", "900"], "late news");
 }
 
@@ -368,20 +368,20 @@
     };
     let mut directory = Directory::new(member(0));
     directory.read_page(at(0), page(vec![before.clone(), member(1)]));
-    directory.hear(at(1), vec![before]);
+    directory.add_claimed(at(1), vec![before]);
     assert_eq!(known(&directory), ["1", "2"]);
 }
 
 #[test]
 fn members_heard_twice_or_in_another_order_make_the_same_directory() {
     let mut one = Directory::new(member(0));
-    one.hear(at(0), (1..20).map(member).collect());
+    one.add_claimed(at(0), (1..20).map(member).collect());
     let mut other = Directory::new(member(0));
-    other.hear(at(0), (1..20).rev().map(member).collect());
-    other.hear(at(1), (1..20).map(member).collect());
+    other.add_claimed(at(0), (1..20).rev().map(member).collect());
+    other.add_claimed(at(1), (1..20).map(member).collect());
     assert_eq!(one.digest(), other.digest());
     assert!(one.differing_from(&other.part_digests()).is_empty());
-    other.hear(at(2), vec![member(30)]);
+    other.add_claimed(at(2), vec![member(30)]);
     assert_ne!(one.digest(), other.digest());
     let missing = other.differing_from(&one.part_digests());
     assert!(missing.contains(&member(30)) && missing.len() < 10);
