--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::deregistration::Deregistration;
 use super::health::Health;
 use super::lives::Challenger;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Life {
     /// Its name.
-    pub name: LifeName,
+    pub name: WorkerIncarnation,
     /// Its number.
     pub number: LifeNumber,
     /// How it became known.
@@ -34,9 +34,9 @@
     /// When a heartbeat last named it.
     pub service_heard: Timestamp,
     /// Its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// The least that it has been.
-    pub least_capacity: Room,
+    pub least_capacity: Resources,
     /// Whether that is less than what it said first.
     pub has_shrunk: bool,
     /// Number of the latest heartbeat.
@@ -193,12 +193,12 @@
         }
     }
 
-    pub(super) fn is_present(&self, name: &LifeName) -> bool {
+    pub(super) fn is_present(&self, name: &WorkerIncarnation) -> bool {
         self.life.as_ref().is_some_and(|life| life.name == *name)
     }
 
     /// All the room of the worker; none while no life of it is known.
-    pub(super) fn capacity(&self) -> Room {
+    pub(super) fn capacity(&self) -> Resources {
         let life = self.life.as_ref();
         life.map(|life| life.capacity).unwrap_or_default()
     }
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -17,7 +17,7 @@
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{StartBatch, ToAgentBody};
-use crate::leased::room::Room;
+use crate::leased::resources::Resources;
 use crate::leased::task::{JobId, RunNumber};
 
 /// What a worker of another zone costs more, in microseconds of run time.
@@ -39,7 +39,7 @@
     /// Whether the queue is contained: it has other workers than the rest of its service.
     is_contained: bool,
     label: Option<String>,
-    room: Room,
+    resources: Resources,
 }
 
 impl Shortage {
@@ -49,7 +49,7 @@
         let has_same_workers =
             self.queue.service == queue.service && self.is_contained == is_contained;
         let is_narrower = self.label.is_none() || self.label == step.label;
-        has_same_workers && is_narrower && self.room.fits(step.room)
+        has_same_workers && is_narrower && self.resources.fits_in(step.resources)
     }
 }
 
@@ -124,7 +124,7 @@
                     queue: Arc::clone(&job.queue),
                     is_contained,
                     label: request.label.clone(),
-                    room: request.room,
+                    resources: request.resources,
                 });
                 return false;
             };
@@ -171,7 +171,7 @@
         self.workers
             .values()
             .filter(|worker| worker.is_usable(now, service))
-            .map(|worker| worker.report.pace_percent)
+            .map(|worker| worker.report.run_time_percent)
             .min()
     }
 
@@ -187,12 +187,16 @@
             return None;
         }
         let free = worker.free_room();
-        let tasks = request.room.times_in(free).min(worker.limit()).min(wanted);
+        let tasks = request
+            .resources
+            .count_fitting_in(free)
+            .min(worker.limit())
+            .min(wanted);
         if tasks == 0 {
             return None;
         }
         let snapshot = worker.snapshot.as_ref()?;
-        let pace = u64::from(worker.report.pace_percent);
+        let pace = u64::from(worker.report.run_time_percent);
         let is_far = request
             .near
             .as_ref()
@@ -218,7 +222,7 @@
             cost: run_time + zone + FULLNESS_MICROS * taken / capacity,
             offer: None,
             apart: None,
-            is_alone: false,
+            is_exclusive: false,
         })
     }
 
@@ -245,11 +249,11 @@
         let request = &job.steps[step].request;
         let count = u32::try_from(tasks.len()).unwrap_or(u32::MAX);
         let reported = if candidate.offer.is_some() {
-            Room::default()
+            Resources::default()
         } else {
-            request.room.times(count)
+            request.resources.multiplied_by(count)
         };
-        let patience = if candidate.is_alone {
+        let patience = if candidate.is_exclusive {
             ALONE_PATIENCE
         } else {
             PATIENCE
@@ -258,7 +262,7 @@
         for (index, run) in &tasks {
             let task = task_id(id, step, *index);
             worker.place(task, *run);
-            if candidate.is_alone {
+            if candidate.is_exclusive {
                 worker.alone = Some(task);
             }
         }
@@ -267,12 +271,12 @@
             job: id,
             step: u32::try_from(step).unwrap_or(u32::MAX),
             input: job.input.clone(),
-            room: request.room,
+            resources: request.resources,
             estimate_millis: u32::try_from(request.estimate.as_millis()).unwrap_or(u32::MAX),
-            patience_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
+            max_wait_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
             tasks,
             offer: candidate.offer,
-            is_alone: candidate.is_alone,
+            is_exclusive: candidate.is_exclusive,
             has_stalled,
         };
         effects.push(GatewayEffect::Decided(GatewayDecision::Placed {
@@ -299,7 +303,7 @@
     best_pace: u32,
     worker: &Worker,
 ) -> Option<u32> {
-    let pace = worker.report.pace_percent;
+    let pace = worker.report.run_time_percent;
     let run_time = request.estimate.0 * u64::from(pace) / 100;
     let is_slow = run_time > job.objective.0 && pace >= best_pace.saturating_mul(SLOW_FACTOR);
     match (is_slow, worker.is_idle()) {
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -44,7 +44,7 @@
     let watched = AgentEvent::Watched {
         life: "life-1".into(),
         answer: Ok(WatchAnswer {
-            born: None,
+            started_at: None,
             clock: Some(worker_clock(at(millis))),
             lists: Ok(WorkerLists::default()),
         }),
@@ -101,7 +101,7 @@
         };
         let message = ToAgent {
             echo: at(20),
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         take(&mut machine, 20, AgentEvent::Message { session, message });
@@ -117,7 +117,7 @@
 
 /// An agent whose worker of four cores runs two tasks of a core each.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 2, 50);
     rig.message(at(10), batch);
     for id in rig.take_starts() {
@@ -174,7 +174,7 @@
     let snapshot = last_snapshot(&rig).expect("told anew");
     assert_eq!(snapshot.capacity, cpu(2_500));
     assert_eq!(snapshot.held.len(), 2);
-    assert_eq!(rig.told_room(SESSION), Some(500));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(500));
 }
 
 /// A cut may hold a heartbeat back until later ones have come.
@@ -191,8 +191,8 @@
 #[test]
 fn a_later_agent_knows_the_least_room_that_the_life_has_had() {
     let mut rig = running();
-    for (millis, room) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
-        rig.register(at(millis), "life-1", cpu(room), false);
+    for (millis, resources) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
+        rig.register(at(millis), "life-1", cpu(resources), false);
     }
     let known: Vec<(u32, bool)> = rig
         .remembered
--- a/laurelstile-core/tests/leased_members.rs
+++ b/laurelstile-core/tests/leased_members.rs
@@ -28,7 +28,7 @@
     let session = SessionId(1_000 + number);
     rig.open_peer(now, session);
     let message = ToPeer::Introduction(Introduction::new(&other(number), Digest::default()));
-    rig.hear_peer(now, session, message);
+    rig.peer_message(now, session, message);
 }
 
 fn lose(rig: &mut GatewayRig, now: Timestamp, number: u64) {
@@ -74,7 +74,7 @@
     assert_eq!(names.len(), distinct.len(), "each gateway once");
     let mut candidates = Candidates::new("agent-1", "here");
     for number in 1..=54 {
-        candidates.offer(&other(number));
+        candidates.insert(&other(number));
     }
     let mut wanted = candidates.iter().map(|member| &member.name);
     assert!(wanted.all(|name| distinct.contains(name)));
--- a/laurelstile-core/tests/leased_support/mod.rs
+++ b/laurelstile-core/tests/leased_support/mod.rs
@@ -4,7 +4,7 @@
 
 mod agent_rig;
 mod gateway_rig;
-mod returning;
+mod restarting_worker;
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use laurelstile_core::leased::gateway::StopTimes;
 use laurelstile_core::leased::gateway::job::{JobRequest, StepRequest};
 use laurelstile_core::leased::gateway::queues::{QueueConfiguration, QueueSettings};
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -21,7 +21,7 @@
 #[allow(unused_imports, reason = "each test uses a part")]
 pub use gateway_rig::*;
 #[allow(unused_imports, reason = "each test uses a part")]
-pub use returning::*;
+pub use restarting_worker::*;
 
 /// A time, in milliseconds.
 pub const fn at(millis: u64) -> Timestamp {
@@ -29,8 +29,8 @@
 }
 
 /// Room of so many thousandths of a core.
-pub const fn cpu(millis: u32) -> Room {
-    Room {
+pub const fn cpu(millis: u32) -> Resources {
+    Resources {
         cpu_millis: millis,
         memory_mib: 0,
         gpus: 0,
@@ -82,7 +82,7 @@
         input: "input".into(),
         steps: vec![StepRequest {
             count: tasks,
-            room: cpu(1_000),
+            resources: cpu(1_000),
             estimate: Span::from_millis(estimate_millis),
             after: Vec::new(),
             label: None,
