--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -8,7 +8,7 @@
 use laurelstile_types::time::Span;
 
 use super::super::crashes::{CrashedTask, WorkerCrash};
-use super::super::life_name::LifeName;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::Run;
 use super::{LeasedAgent, LifeEnd};
 
@@ -67,7 +67,7 @@
     /// shutdown by draining or deregistering.
     pub(super) fn record_crash(
         &mut self,
-        incarnation: &LifeName,
+        incarnation: &WorkerIncarnation,
         was_draining: bool,
         end: LifeEnd,
         tasks: Vec<CrashedTask>,
@@ -75,7 +75,7 @@
         let has_crashed = end != LifeEnd::Deregistered && !was_draining;
         if has_crashed && !tasks.is_empty() {
             self.crash_history.add(WorkerCrash {
-                life: incarnation.to_string(),
+                incarnation: incarnation.to_string(),
                 runs: u32::try_from(tasks.len()).unwrap_or(u32::MAX),
                 tasks,
             });
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -74,7 +74,7 @@
             self.past_incarnations.record_deregistered_id(now, id);
             return;
         };
-        let is_confirmed = worker.draining || !worker.incarnation.may_return();
+        let is_confirmed = worker.draining || !worker.incarnation.may_restart();
         worker.deregistration.get_or_insert(Deregistration {
             since: now,
             is_answered: false,
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -6,10 +6,10 @@
 use laurelstile_types::time::Span;
 
 use super::super::input::JobInput;
-use super::super::life_name::{Born, LifeName};
 use super::super::messages::{EndKind, FromAgent, Member, ToAgent};
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
+use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
 use super::proof::EndProof;
 use super::worker::{
     FenceToken, KnownLife, OrderFailure, Registration, Rejection, WorkerClock, WorkerLists,
@@ -59,7 +59,7 @@
         /// The run to start.
         run: RunId,
         /// Incarnation that the command was addressed to.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<OrderAnswer, OrderFailure>,
     },
@@ -68,14 +68,14 @@
         /// The run to stop.
         run: RunId,
         /// Incarnation that the command was addressed to.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<OrderAnswer, OrderFailure>,
     },
     /// A watch completed or failed.
     Watched {
         /// Incarnation that the command was addressed to.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<WatchAnswer, OrderFailure>,
     },
@@ -100,7 +100,7 @@
     /// The worker's clock; `None` if the answer does not carry it.
     pub clock: Option<WorkerClock>,
     /// Start time of the answering process; `None` if the answer does not carry it.
-    pub born: Option<Born>,
+    pub started_at: Option<StartTime>,
     /// The worker's run lists, or why it rejected the watch.
     pub lists: Result<WorkerLists, Rejection>,
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     /// Incarnation that the command is addressed to.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// Fencing token of the agent.
     pub token: FenceToken,
     /// What the worker is to do.
@@ -264,14 +264,14 @@
     /// The agent has taken control of an incarnation of the worker: every run there is its own.
     InControl {
         /// The controlled incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// Fencing token of the agent's commands.
         token: FenceToken,
     },
     /// An incarnation of the worker became the current one.
     LifeBegan {
         /// The new incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// How the agent learned of it.
         source: LifeSource,
         /// Whether it is draining.
@@ -280,7 +280,7 @@
     /// A heartbeat was answered, and its contents were ignored.
     HeartbeatIgnored {
         /// Incarnation that it names.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// Why it was ignored.
         reason: IgnoredHeartbeat,
         /// Whether it reports the worker as draining.
@@ -292,7 +292,7 @@
     /// Nothing starts there until the next one.
     RoomAged {
         /// The current incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// A start was unanswered when the worker's incarnation ended. The next incarnation under
     /// the same id may still carry it out, so the task is not repeated until that is ruled out.
@@ -303,14 +303,14 @@
     /// A deregistration came from an earlier incarnation and is disregarded.
     LateDeregistration {
         /// The current incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// A delayed heartbeat of an ended incarnation arrived while the current one still answers.
     LateHeartbeat {
         /// The ended incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// The current incarnation.
-        present: LifeName,
+        present: WorkerIncarnation,
     },
     /// A session was closed because nothing arrived on it.
     SessionSilent {
@@ -342,7 +342,7 @@
     /// An incarnation of the worker has ended.
     LifeOver {
         /// The ended incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// How the agent learned of the end.
         end: LifeEnd,
         /// Runs that ended with it.
@@ -351,16 +351,16 @@
     /// The worker reported a changed capacity.
     CapacityChanged {
         /// The current incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
         /// Capacity before the change.
-        before: Room,
+        before: Resources,
         /// Capacity after the change.
-        now: Room,
+        now: Resources,
     },
     /// The worker began to drain.
     Draining {
         /// The draining incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// The worker's zone was evacuated, or its evacuation was revoked.
     Evacuated {
@@ -372,7 +372,7 @@
     /// The worker does not answer.
     WorkerSilent {
         /// The current incarnation.
-        life: LifeName,
+        life: WorkerIncarnation,
     },
     /// The agent stops a run without a request from its gateway.
     Stopping {
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -12,7 +12,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::UNLIMITED;
+use super::super::messages::NO_TASK_LIMIT;
 use super::super::task::JobId;
 
 /// Consecutive failures that put a worker on probation.
@@ -149,7 +149,7 @@
     /// Number of tasks that the worker may hold in total; `active` is how many it holds now.
     pub fn limit(&self, now: Timestamp, active: usize) -> u32 {
         match self.probation {
-            None => UNLIMITED,
+            None => NO_TASK_LIMIT,
             Some(probation) if now < probation.until => 0,
             Some(_) => u32::from(active == 0),
         }
@@ -168,7 +168,7 @@
         clippy::cast_sign_loss,
         reason = "bounded and positive"
     )]
-    pub fn pace_percent(&self, now: Timestamp) -> u32 {
+    pub fn run_time_percent(&self, now: Timestamp) -> u32 {
         let mut pace = self.pace;
         if pace > SLOW_PACE_THRESHOLD {
             let periods = now.since(self.sampled).0 / PACE_HALF_LIFE.0;
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::timing::{LEASE, LEASE_AT_MOST, OWNER_SILENCE, STOP_AT_MOST};
+use super::super::timing::{LEASE_DURATION, MAX_LEASE_DURATION, MAX_STOP_TIME, OWNER_TIMEOUT};
 use super::LeasedAgent;
 use super::ledger::{Run, RunState};
 use super::life::WorkerState;
@@ -10,7 +10,7 @@
 
 /// When every run has ended at a worker whose lease was last renewed at `renewed`.
 pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
-    renewed.after(Span(LEASE_AT_MOST.0 + STOP_AT_MOST.0 + 1))
+    renewed.after(Span(MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0 + 1))
 }
 
 impl LeasedAgent {
@@ -29,7 +29,7 @@
     ///
     /// A run that is being stopped holds back the renewal for all others: a worker may answer
     /// watches but no stops, and the run's gateway considers the run over after
-    /// [`super::super::timing::LAPSE_AFTER_SILENCE`], while a renewed lease would keep it alive.
+    /// [`super::super::timing::AGENT_EXPIRY`], while a renewed lease would keep it alive.
     /// A stop usually completes long before the lease expires, so other runs are not affected.
     fn renewable_until(&self) -> Timestamp {
         let runs = self.runs.iter().map(|(_, run)| run);
@@ -41,7 +41,7 @@
 
     fn answered_for_until(&self, run: &Run) -> Timestamp {
         let owner = self.owners.get(&run.owner);
-        let silent_at = owner.map(|owner| owner.echo.after(OWNER_SILENCE));
+        let silent_at = owner.map(|owner| owner.echo.after(OWNER_TIMEOUT));
         let stopped_at = match run.state {
             RunState::Stopping { since, .. } => Some(since),
             _ => None,
@@ -61,6 +61,6 @@
 impl WorkerState {
     /// End of a lease that is renewed at `now`.
     fn lease_until(&self, now: Timestamp) -> WorkerClock {
-        WorkerClock(self.clock.at_least(now).0 + LEASE.as_millis())
+        WorkerClock(self.clock.at_least(now).0 + LEASE_DURATION.as_millis())
     }
 }
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -8,9 +8,9 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::{RunId, RunNumber, TaskId};
-use super::super::timing::STOP_AT_MOST;
+use super::super::timing::MAX_STOP_TIME;
 use super::life::IncarnationNumber;
 use super::worker::WorkerClock;
 
@@ -65,7 +65,7 @@
     /// Gateway on whose behalf it runs.
     pub owner: Incarnation,
     /// Resources that it takes.
-    pub room: Room,
+    pub resources: Resources,
     /// Estimated run time.
     pub estimate: Span,
     pub input: JobInput,
@@ -84,7 +84,7 @@
     /// Whether the overdue stop has been logged.
     pub has_logged_overdue_stop: bool,
     /// Whether the worker must run nothing else meanwhile.
-    pub is_alone: bool,
+    pub is_exclusive: bool,
     /// Whether its task has stalled on another worker.
     pub has_stalled: bool,
     /// Progress in percent.
@@ -115,7 +115,7 @@
     /// Whether its stop takes longer than a stop may.
     pub fn is_stop_overdue(&self, now: Timestamp) -> bool {
         match self.state {
-            RunState::Stopping { since, .. } => now.since(since) > STOP_AT_MOST,
+            RunState::Stopping { since, .. } => now.since(since) > MAX_STOP_TIME,
             _ => false,
         }
     }
@@ -125,8 +125,8 @@
 #[derive(Debug, Default)]
 pub struct RunTable {
     runs: BTreeMap<TaskId, Run>,
-    taken: Room,
-    waiting_resources: Room,
+    taken: Resources,
+    waiting_resources: Resources,
     waiting: usize,
     exclusive: usize,
 }
@@ -217,12 +217,12 @@
     }
 
     /// Resources that runs take at the worker.
-    pub fn taken(&self) -> Room {
+    pub fn taken(&self) -> Resources {
         self.taken
     }
 
     /// Resources that waiting runs will take.
-    pub fn waiting_resources(&self) -> Room {
+    pub fn waiting_resources(&self) -> Resources {
         self.waiting_resources
     }
 
@@ -237,7 +237,7 @@
     }
 
     fn count(&mut self, run: &Run, is_added: bool) {
-        let exclusive = usize::from(run.is_alone);
+        let exclusive = usize::from(run.is_exclusive);
         self.exclusive = if is_added {
             self.exclusive + exclusive
         } else {
@@ -254,9 +254,9 @@
             &mut self.waiting_resources
         };
         *sum = if is_added {
-            sum.plus(run.room)
+            sum.saturating_add(run.resources)
         } else {
-            sum.minus(run.room)
+            sum.saturating_sub(run.resources)
         };
     }
 }
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/life.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::deregistration::Deregistration;
 use super::health::Health;
 use super::lives::SuccessorCandidate;
@@ -23,7 +23,7 @@
 /// The worker's current incarnation.
 #[derive(Debug)]
 pub struct WorkerState {
-    pub incarnation: LifeName,
+    pub incarnation: WorkerIncarnation,
     pub number: IncarnationNumber,
     /// How the agent learned of it.
     pub source: LifeSource,
@@ -31,9 +31,9 @@
     /// When a heartbeat last named this service.
     pub service_confirmed_at: Timestamp,
     /// Latest reported capacity.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Smallest capacity reported so far.
-    pub least_capacity: Room,
+    pub least_capacity: Resources,
     /// Whether the capacity has been smaller than first reported.
     pub has_shrunk: bool,
     /// Sequence number of the latest heartbeat.
@@ -189,14 +189,14 @@
         }
     }
 
-    pub(super) fn is_current(&self, incarnation: &LifeName) -> bool {
+    pub(super) fn is_current(&self, incarnation: &WorkerIncarnation) -> bool {
         self.worker
             .as_ref()
             .is_some_and(|worker| worker.incarnation == *incarnation)
     }
 
     /// Total capacity of the worker; zero if no incarnation is known.
-    pub(super) fn capacity(&self) -> Room {
+    pub(super) fn capacity(&self) -> Resources {
         let worker = self.worker.as_ref();
         worker.map(|worker| worker.capacity).unwrap_or_default()
     }
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/life_end.rs
@@ -6,9 +6,9 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::{Born, LifeName};
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
+use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
 use super::crash_memory::is_early;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::WorkerState;
@@ -22,7 +22,7 @@
     pub(super) fn on_incarnation_ended(
         &mut self,
         now: Timestamp,
-        incarnation: &LifeName,
+        incarnation: &WorkerIncarnation,
         end: LifeEnd,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -38,10 +38,10 @@
             LifeEnd::Deregistered | LifeEnd::Replaced => EndProof::LeaseOver,
         };
         // A worker with another id rejects commands for this one.
-        let may_return = incarnation.may_return() && end != LifeEnd::Superseded;
+        let may_restart = incarnation.may_restart() && end != LifeEnd::Superseded;
         for task in self.runs.tasks_where(|_| true) {
             let is_unconfirmed = self.runs.get(task).is_some_and(Run::is_unconfirmed);
-            if may_return && is_unconfirmed {
+            if may_restart && is_unconfirmed {
                 self.hold_start(now, task, &ended, effects);
             } else {
                 self.end_run(now, task, EndKind::Lost, proof, effects);
@@ -63,7 +63,7 @@
     pub(super) fn on_restarted(
         &mut self,
         now: Timestamp,
-        born: Born,
+        started_at: StartTime,
         listed: &BTreeSet<RunId>,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -72,7 +72,7 @@
         };
         self.record_incarnation_end(now, &mut ended, LifeEnd::Reborn, listed, effects);
         self.held_worker_id = Some(Arc::clone(&ended.incarnation.id));
-        let incarnation = ended.incarnation.reborn(born);
+        let incarnation = ended.incarnation.started_again_at(started_at);
         let registered = ended.successor.map(|successor| successor.registration);
         match registered.filter(|registration| registration.life == incarnation) {
             Some(registration) => self.start_registered_incarnation(now, registration, effects),
--- a/laurelstile-core/src/leased/agent/lives.rs
+++ b/laurelstile-core/src/leased/agent/lives.rs
@@ -2,7 +2,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::Born;
+use super::super::worker_incarnation::StartTime;
 use super::life::WorkerState;
 use super::worker::Registration;
 use super::{AgentDecision, AgentEffect, IgnoredHeartbeat, LeasedAgent, LifeEnd, LifeSource};
@@ -51,7 +51,7 @@
             let is_held = now.since(worker.service_confirmed_at) <= self.service_retention();
             return (is_other && is_held).then_some(IgnoredHeartbeat::OtherService);
         }
-        if worker.incarnation.id == incarnation.id && incarnation.born.is_none() {
+        if worker.incarnation.id == incarnation.id && incarnation.started_at.is_none() {
             return Some(IgnoredHeartbeat::NoBirth);
         }
         let has_ended = self.past_incarnations.contains(incarnation);
@@ -128,7 +128,7 @@
             now: capacity,
         }));
         worker.capacity = capacity;
-        let least = capacity.least(worker.least_capacity);
+        let least = capacity.min(worker.least_capacity);
         let has_shrunk = least != worker.least_capacity;
         worker.least_capacity = least;
         worker.has_shrunk |= has_shrunk;
@@ -236,16 +236,18 @@
     pub(super) fn detected_restart(
         &self,
         queried_at: Timestamp,
-        answered: Option<Born>,
-    ) -> Option<Born> {
-        if self.incarnation.is_other_birth(answered) {
+        answered: Option<StartTime>,
+    ) -> Option<StartTime> {
+        if self.incarnation.is_other_incarnation(answered) {
             return answered;
         }
         let successor = self.successor.as_ref()?;
-        let registered_start = successor.registration.life.born;
+        let registered_start = successor.registration.life.started_at;
         let has_restarted = match answered {
-            Some(_) => registered_start == answered && registered_start != self.incarnation.born,
-            None => successor.since < queried_at && registered_start > self.incarnation.born,
+            Some(_) => {
+                registered_start == answered && registered_start != self.incarnation.started_at
+            }
+            None => successor.since < queried_at && registered_start > self.incarnation.started_at,
         };
         registered_start.filter(|_| has_restarted && self.has_possible_restart())
     }
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -8,8 +8,8 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::{Announcement, UNLIMITED};
-use super::super::room::Room;
+use super::super::messages::{Announcement, NO_TASK_LIMIT};
+use super::super::resources::Resources;
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
@@ -31,11 +31,11 @@
     }
 
     /// Resources reserved for gateways.
-    pub(super) fn offered_resources(&self) -> Room {
+    pub(super) fn offered_resources(&self) -> Resources {
         self.owners
             .values()
             .map(Owner::offered_resources)
-            .fold(Room::default(), Room::plus)
+            .fold(Resources::default(), Resources::saturating_add)
     }
 
     /// Offers free resources to the gateways with waiting tasks, best rank first.
@@ -45,18 +45,18 @@
                 effects.push(AgentEffect::Decided(AgentDecision::OfferExpired));
             }
         }
-        if !self.is_available(now) || self.limit_left(now) != UNLIMITED {
+        if !self.is_available(now) || self.limit_left(now) != NO_TASK_LIMIT {
             return;
         }
         while let Some((gateway, step, announced)) = self.best_ranked_step(now) {
-            let tasks = announced.room.times_in(self.free_resources());
+            let tasks = announced.resources.count_fitting_in(self.free_resources());
             let tasks = tasks.min(announced.count);
             let Some(owner) = self.owners.get_mut(&gateway) else {
                 return;
             };
             owner.offer(
                 step,
-                announced.room.times(tasks),
+                announced.resources.multiplied_by(tasks),
                 tasks,
                 now.after(OFFER_TIMEOUT),
             );
@@ -76,7 +76,7 @@
                     .announced(now)
                     .map(move |(step, announced)| (*gateway, step, announced))
             })
-            .filter(|(_, _, announced)| announced.room.fits(free))
+            .filter(|(_, _, announced)| announced.resources.fits_in(free))
             .min_by_key(|(_, _, announced)| (announced.rank, announced.until))
     }
 }
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -5,7 +5,7 @@
 
 use super::super::messages::{FromAgent, FromAgentBody, Report, Snapshot};
 use super::super::task::TaskId;
-use super::super::timing::{BUSY_HEARTBEAT, IDLE_HEARTBEAT, RECENT};
+use super::super::timing::{BUSY_HEARTBEAT_INTERVAL, BUSY_LINGER, IDLE_HEARTBEAT_INTERVAL};
 use super::ledger::{RunState, StopReason};
 use super::owner::Owner;
 use super::{AgentEffect, LeasedAgent};
@@ -92,7 +92,7 @@
             clock: now,
             report: is_new.then_some(report),
             offers,
-            sought: None,
+            candidates: None,
             body,
         };
         effects.push(AgentEffect::Send { session, message });
@@ -128,7 +128,7 @@
             clock: now,
             report: None,
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Crashes(crashes),
         };
         effects.push(AgentEffect::Send { session, message });
@@ -142,12 +142,12 @@
     ) -> Span {
         let is_recent = owner
             .last_start_request
-            .is_some_and(|requested| now.since(requested) <= RECENT);
+            .is_some_and(|requested| now.since(requested) <= BUSY_LINGER);
         let is_busy = is_recent || owner.has_unacknowledged() || self.owns_runs(gateway);
         if is_busy {
-            BUSY_HEARTBEAT
+            BUSY_HEARTBEAT_INTERVAL
         } else {
-            IDLE_HEARTBEAT
+            IDLE_HEARTBEAT_INTERVAL
         }
     }
 
@@ -158,14 +158,14 @@
             free: if is_available {
                 self.free_resources()
             } else {
-                super::Room::default()
+                super::Resources::default()
             },
             limit: if is_available {
                 self.limit_left(now)
             } else {
                 0
             },
-            pace_percent: self.health.pace_percent(now),
+            run_time_percent: self.health.run_time_percent(now),
         }
     }
 
--- a/laurelstile-core/src/leased/agent/past_lives.rs
+++ b/laurelstile-core/src/leased/agent/past_lives.rs
@@ -5,7 +5,7 @@
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::LifeName;
+use super::super::worker_incarnation::WorkerIncarnation;
 
 /// Number of incarnations remembered. Delayed messages of an incarnation arrive within seconds
 /// of its end, and a worker restarts at most a few times in that period.
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct PastIncarnation {
-    incarnation: LifeName,
+    incarnation: WorkerIncarnation,
     deregistered: Option<Timestamp>,
 }
 
@@ -30,12 +30,12 @@
 
 impl PastIncarnations {
     /// Records an incarnation that has ended.
-    pub fn record_ended(&mut self, incarnation: LifeName) {
+    pub fn record_ended(&mut self, incarnation: WorkerIncarnation) {
         self.record(incarnation, None);
     }
 
     /// Records an incarnation that has deregistered.
-    pub fn record_deregistered(&mut self, now: Timestamp, incarnation: LifeName) {
+    pub fn record_deregistered(&mut self, now: Timestamp, incarnation: WorkerIncarnation) {
         self.record(incarnation, Some(now));
     }
 
@@ -47,26 +47,32 @@
             Some(entry) => entry.deregistered = Some(now),
             None => {
                 let id = Arc::clone(id);
-                self.record_deregistered(now, LifeName { id, born: None });
+                self.record_deregistered(
+                    now,
+                    WorkerIncarnation {
+                        id,
+                        started_at: None,
+                    },
+                );
             }
         }
     }
 
     /// Removes an incarnation that turned out to be running.
-    pub fn forget(&mut self, incarnation: &LifeName) {
+    pub fn forget(&mut self, incarnation: &WorkerIncarnation) {
         self.entries
             .retain(|entry| entry.incarnation != *incarnation);
     }
 
     /// Whether the incarnation is known to have ended or deregistered.
-    pub fn contains(&self, incarnation: &LifeName) -> bool {
+    pub fn contains(&self, incarnation: &WorkerIncarnation) -> bool {
         self.entries
             .iter()
             .any(|entry| entry.incarnation == *incarnation)
     }
 
     /// Whether the incarnation has deregistered recently and may still be running.
-    pub fn is_leaving(&self, now: Timestamp, incarnation: &LifeName) -> bool {
+    pub fn is_leaving(&self, now: Timestamp, incarnation: &WorkerIncarnation) -> bool {
         let entry = self
             .entries
             .iter()
@@ -75,7 +81,7 @@
         deregistered.is_some_and(|at| now.since(at) <= LEAVING_PERIOD)
     }
 
-    fn record(&mut self, incarnation: LifeName, deregistered: Option<Timestamp>) {
+    fn record(&mut self, incarnation: WorkerIncarnation, deregistered: Option<Timestamp>) {
         let known = self
             .entries
             .iter_mut()
--- a/laurelstile-core/src/leased/agent/silence.rs
+++ b/laurelstile-core/src/leased/agent/silence.rs
@@ -3,7 +3,7 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::timing::BUSY_HEARTBEAT;
+use super::super::timing::BUSY_HEARTBEAT_INTERVAL;
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 use crate::session::SessionId;
 
@@ -60,7 +60,7 @@
             if let Some(worker) = self
                 .worker
                 .as_mut()
-                .filter(|worker| worker.incarnation.may_return())
+                .filter(|worker| worker.incarnation.may_restart())
             {
                 worker.has_synced = false;
             }
@@ -93,7 +93,7 @@
     /// When the session to a gateway is closed unless something arrives.
     fn session_silent_at(&self, now: Timestamp, gateway: Incarnation) -> Option<Timestamp> {
         let owner = self.owners.get(&gateway)?;
-        let limit = if self.heartbeat_interval(now, gateway, owner) == BUSY_HEARTBEAT {
+        let limit = if self.heartbeat_interval(now, gateway, owner) == BUSY_HEARTBEAT_INTERVAL {
             BUSY_SESSION_SILENCE
         } else {
             IDLE_SESSION_SILENCE
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -3,10 +3,10 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::life_name::LifeName;
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
-use super::super::timing::LEASE_AT_MOST;
+use super::super::timing::MAX_LEASE_DURATION;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::{Run, RunState, StopReason};
 use super::proof::EndProof;
 use super::worker::{OrderFailure, Rejection};
@@ -93,7 +93,7 @@
         &mut self,
         now: Timestamp,
         id: RunId,
-        incarnation: &LifeName,
+        incarnation: &WorkerIncarnation,
         answer: Result<OrderAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -204,7 +204,7 @@
 fn stop_retry_delay(run: &Run, now: Timestamp) -> Span {
     if run.unanswered_stops == 0 {
         Span::default()
-    } else if now.since(run.sent) <= LEASE_AT_MOST {
+    } else if now.since(run.sent) <= MAX_LEASE_DURATION {
         STOP_RETRY_DELAY
     } else {
         EXPIRED_STOP_RETRY_DELAY
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -6,10 +6,10 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::crashes::CrashedTask;
-use super::super::life_name::LifeName;
 use super::super::messages::EndKind;
 use super::super::task::{RunId, TaskId};
-use super::super::timing::{LEASE_AT_MOST, STOP_AT_MOST};
+use super::super::timing::{MAX_LEASE_DURATION, MAX_STOP_TIME};
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::lease::lease_expired_at;
 use super::ledger::{Run, RunState, StopReason};
 use super::life::{IncarnationNumber, WorkerState};
@@ -79,7 +79,7 @@
     pub(super) fn on_watched(
         &mut self,
         now: Timestamp,
-        incarnation: &LifeName,
+        incarnation: &WorkerIncarnation,
         answer: Result<WatchAnswer, OrderFailure>,
         effects: &mut Vec<AgentEffect>,
     ) {
@@ -121,12 +121,12 @@
         let Some(worker) = &mut self.worker else {
             return;
         };
-        if let Some(born) = worker.detected_restart(queried_at, answer.born) {
+        if let Some(started_at) = worker.detected_restart(queried_at, answer.started_at) {
             // These lists answer a command for the previous incarnation. The next watch carries
             // a new token, which fences off commands for the previous one that are still in
             // flight.
             let listed = answer.lists.as_ref().map(WorkerLists::listed);
-            self.on_restarted(now, born, &listed.unwrap_or_default(), effects);
+            self.on_restarted(now, started_at, &listed.unwrap_or_default(), effects);
             self.update_clock(now, answer.clock);
             return;
         }
@@ -325,9 +325,9 @@
     /// started again.
     fn expiring_tasks(&self) -> Vec<TaskId> {
         let worker = self.worker.as_ref();
-        let may_return = worker.is_some_and(|worker| worker.incarnation.may_return());
+        let may_restart = worker.is_some_and(|worker| worker.incarnation.may_restart());
         self.runs
-            .tasks_where(|run| run.takes_resources() && !(may_return && run.is_unconfirmed()))
+            .tasks_where(|run| run.takes_resources() && !(may_restart && run.is_unconfirmed()))
     }
 }
 
@@ -377,7 +377,8 @@
             // A run never starts after its stop was answered. Without an answer, its start is
             // void once its lease has expired on the clock of the incarnation that it was sent
             // to.
-            let is_lease_over = queried_at.since(run.sent).0 > LEASE_AT_MOST.0 + STOP_AT_MOST.0;
+            let is_lease_over =
+                queried_at.since(run.sent).0 > MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0;
             let is_void = is_lease_over && run.incarnation == current;
             let is_stopped = answered.is_some_and(|answered| answered < queried_at);
             (is_void || is_stopped).then(|| end_of_stop(reason))
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 
 /// A reading of the worker's monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Incarnation of the worker that sent it.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// Name of the service that it serves.
     pub service: String,
     /// Total capacity.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Labels that placement rules refer to.
     pub labels: Vec<String>,
     /// Reading of the worker's clock.
@@ -165,7 +165,7 @@
 
     /// Lower bound of the worker's clock at `now`, assuming the slowest permitted clock. Lease
     /// ends are computed from this, because one computed from [`Self::at`] with an old reading
-    /// could exceed [`super::super::timing::LEASE_AT_MOST`].
+    /// could exceed [`super::super::timing::MAX_LEASE_DURATION`].
     pub fn at_least(&self, now: Timestamp) -> WorkerClock {
         let since = now.since(self.taken).0 * SLOWEST_CLOCK_PERCENT / 100_000;
         let before = self.taken.since(now).0.div_ceil(1_000);
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -6,8 +6,8 @@
 use laurelstile_core::leased::agent::worker::{
     OrderFailure, Rejection, WorkerEndKind, WorkerLists,
 };
-use laurelstile_core::leased::messages::{EndKind, NotStartedReason, ToAgentBody, UNLIMITED};
-use laurelstile_core::leased::timing::{OWNER_SILENCE, START_FRESHNESS};
+use laurelstile_core::leased::messages::{EndKind, NO_TASK_LIMIT, NotStartedReason, ToAgentBody};
+use laurelstile_core::leased::timing::{MAX_START_ECHO_AGE, OWNER_TIMEOUT};
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::Span;
@@ -40,7 +40,7 @@
 
 #[test]
 fn starts_never_exceed_the_capacity() {
-    let mut rig = AgentRig::in_control(cpu(3_000));
+    let mut rig = AgentRig::with_worker(cpu(3_000));
     let batch = rig.batch(1, 5, 50);
     rig.message(at(1), batch);
     let started = rig.take_starts();
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_task_that_waits_too_long_is_returned() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let second = rig.batch(2, 1, 4);
@@ -73,11 +73,11 @@
 
 #[test]
 fn an_unanswered_start_takes_resources_until_its_stop_is_confirmed() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
-    rig.lose_start(at(70), id);
+    rig.time_out_start(at(70), id);
     assert_eq!(rig.take_stops(), vec![id]);
     // The stop is not answered either, so it is sent again.
     rig.answer_stop(at(140), id, false);
@@ -99,12 +99,12 @@
 
 #[test]
 fn a_listed_start_needs_no_answer() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.answer_watch(at(20), lists(&[(id, 15)], &[]));
-    rig.lose_start(at(70), id);
+    rig.time_out_start(at(70), id);
     assert!(rig.take_stops().is_empty());
     rig.answer_watch(at(100), lists(&[], &[(1, id, WorkerEndKind::Done)]));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Done)]);
@@ -112,12 +112,12 @@
 
 #[test]
 fn runs_of_a_silent_gateway_are_stopped() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(101), id, None);
-    let silent = 100 + OWNER_SILENCE.as_millis();
+    let silent = 100 + OWNER_TIMEOUT.as_millis();
     rig.tick(at(silent));
     assert!(rig.take_stops().is_empty());
     rig.tick(at(silent + 1));
@@ -127,21 +127,21 @@
 /// A delayed message that a gateway sent before it froze must not make it appear alive.
 #[test]
 fn a_message_with_an_old_echo_does_not_renew_the_lease() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(101), id, None);
     rig.message_with_echo(at(540), at(120), ToAgentBody::Heartbeat);
-    rig.tick(at(120 + OWNER_SILENCE.as_millis() + 1));
+    rig.tick(at(120 + OWNER_TIMEOUT.as_millis() + 1));
     assert_eq!(rig.take_stops(), vec![id]);
 }
 
 #[test]
 fn a_start_with_an_old_echo_is_refused() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
-    let echo = at(1_000 - START_FRESHNESS.as_millis() - 1);
+    let echo = at(1_000 - MAX_START_ECHO_AGE.as_millis() - 1);
     rig.message_with_echo(at(1_000), echo, batch);
     assert!(rig.take_starts().is_empty());
     let how = EndKind::NotStarted(NotStartedReason::StaleSender);
@@ -150,7 +150,7 @@
 
 #[test]
 fn runs_of_a_gateway_whose_process_has_ended_are_stopped_at_once() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -161,7 +161,7 @@
 
 #[test]
 fn nothing_starts_on_a_draining_worker() {
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let id = rig.take_starts()[0];
@@ -181,7 +181,7 @@
 
 #[test]
 fn runs_of_an_ended_incarnation_are_lost() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -191,7 +191,7 @@
         rig.ends().is_empty(),
         "a heartbeat alone is no evidence of the end"
     );
-    rig.end_life(at(11));
+    rig.end_incarnation(at(11));
     assert_eq!(rig.ends(), vec![(task(1, 0), EndKind::Lost)]);
     // A delayed heartbeat of the old incarnation is ignored.
     rig.register(at(12), "life-1", cpu(1_000), false);
@@ -200,7 +200,7 @@
 
 #[test]
 fn runs_of_a_superseded_worker_are_lost() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -219,13 +219,13 @@
 
 #[test]
 fn runs_of_a_silent_worker_are_lost_once_the_lease_has_expired() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(1), id, None);
-    rig.lose_watch(at(200));
-    rig.lose_watch(at(400));
+    rig.time_out_watch(at(200));
+    rig.time_out_watch(at(400));
     assert!(rig.take_watches().is_empty(), "the second retry is delayed");
     rig.tick(at(420));
     assert_eq!(
@@ -243,7 +243,7 @@
 
 #[test]
 fn ended_runs_are_acknowledged_to_the_worker() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -258,7 +258,7 @@
 #[case::late(Rejection::Late, EndKind::NotStarted(NotStartedReason::Refused))]
 #[case::unhealthy(Rejection::Unhealthy, EndKind::NotStarted(NotStartedReason::Refused))]
 fn rejected_starts_are_returned(#[case] rejection: Rejection, #[case] how: EndKind) {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_worker_that_fails_every_task_is_put_on_probation() {
-    let mut rig = AgentRig::in_control(cpu(8_000));
+    let mut rig = AgentRig::with_worker(cpu(8_000));
     let batch = rig.batch(1, 4, 4);
     rig.message(at(1), batch);
     let started = rig.take_starts();
@@ -289,7 +289,7 @@
 
 #[test]
 fn a_stalled_task_is_returned() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
@@ -307,12 +307,12 @@
 /// Otherwise a single bad task would put one worker after another on probation.
 #[rstest]
 #[case::first_stall(false, 0)]
-#[case::stalled_on_another_worker(true, UNLIMITED)]
+#[case::stalled_on_another_worker(true, NO_TASK_LIMIT)]
 fn a_task_that_has_stalled_elsewhere_does_not_affect_the_workers_health(
     #[case] has_stalled: bool,
     #[case] limit: u32,
 ) {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let mut batch = rig.batch(1, 1, 4);
     if let ToAgentBody::Start(batch) = &mut batch {
         batch.has_stalled = has_stalled;
@@ -331,7 +331,7 @@
 
 #[test]
 fn a_task_that_is_too_slow_is_returned_with_its_projected_run_time() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let id = rig.take_starts()[0];
@@ -352,7 +352,7 @@
 /// normal pace.
 #[test]
 fn a_slow_task_continues_while_later_ones_complete_at_a_normal_pace() {
-    let mut rig = AgentRig::in_control(cpu(2_000));
+    let mut rig = AgentRig::with_worker(cpu(2_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(0), batch);
     let slow = rig.take_starts()[0];
@@ -376,22 +376,22 @@
 #[test]
 fn freed_resources_are_reported_first_to_the_gateway_whose_task_ended() {
     let other = SessionId(71);
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.open(at(0), other, Incarnation(8));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(10), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(11), id, None);
     rig.tick(at(30));
-    assert_eq!(rig.told_room(other), Some(0));
+    assert_eq!(rig.reported_free_cpu(other), Some(0));
     rig.answer_watch(at(100), lists(&[], &[(1, id, WorkerEndKind::Done)]));
-    assert_eq!(rig.told_room(SESSION), Some(1_000));
-    assert_eq!(rig.told_room(other), Some(0));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(1_000));
+    assert_eq!(rig.reported_free_cpu(other), Some(0));
     let batch = rig.batch(2, 1, 4);
     rig.message(at(103), batch);
     rig.tick(at(120));
     assert_eq!(
-        rig.told_room(other),
+        rig.reported_free_cpu(other),
         Some(0),
         "the resources are in use again"
     );
@@ -400,7 +400,7 @@
     rig.answer_watch(at(200), lists(&[], &[(2, id, WorkerEndKind::Done)]));
     rig.tick(at(210));
     assert_eq!(
-        rig.told_room(other),
+        rig.reported_free_cpu(other),
         Some(1_000),
         "the resources are still free"
     );
@@ -408,7 +408,7 @@
 
 #[test]
 fn a_duplicate_start_stops_the_earlier_run() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let first = rig.batch(1, 1, 4);
     rig.message(at(1), first);
     let id = rig.take_starts()[0];
@@ -423,7 +423,7 @@
 
 #[test]
 fn a_graceful_shutdown_waits_for_runs_and_acknowledgements() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
@@ -442,13 +442,13 @@
 /// Guards against a worker that stays unused because its last watch was lost while nothing ran.
 #[test]
 fn a_lost_watch_is_repeated_even_when_nothing_runs() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     rig.answer_start(at(2), id, None);
     rig.answer_watch(at(50), lists(&[], &[(1, id, WorkerEndKind::Done)]));
-    rig.lose_watch(at(100));
+    rig.time_out_watch(at(100));
     assert_eq!(rig.take_watches(), vec![(1, false)]);
     rig.answer_watch(at(101), WorkerLists::default());
     assert!(rig.is_available());
@@ -490,7 +490,7 @@
 
 #[test]
 fn a_worker_wrongly_taken_for_ended_is_used_again() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -44,7 +44,7 @@
     let watched = AgentEvent::Watched {
         life: "life-1".into(),
         answer: Ok(WatchAnswer {
-            born: None,
+            started_at: None,
             clock: Some(worker_clock(at(millis))),
             lists: Ok(WorkerLists::default()),
         }),
@@ -101,7 +101,7 @@
         };
         let message = ToAgent {
             echo: at(20),
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         take(&mut machine, 20, AgentEvent::Message { session, message });
@@ -117,7 +117,7 @@
 
 /// An agent whose worker with four cores runs two tasks of one core each.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 2, 50);
     rig.message(at(10), batch);
     for id in rig.take_starts() {
@@ -174,7 +174,7 @@
     let snapshot = last_snapshot(&rig).expect("a new snapshot");
     assert_eq!(snapshot.capacity, cpu(2_500));
     assert_eq!(snapshot.held.len(), 2);
-    assert_eq!(rig.told_room(SESSION), Some(500));
+    assert_eq!(rig.reported_free_cpu(SESSION), Some(500));
 }
 
 /// A network partition may delay a heartbeat until later ones have arrived.
@@ -191,8 +191,8 @@
 #[test]
 fn the_record_has_the_smallest_capacity_of_the_incarnation() {
     let mut rig = running();
-    for (millis, room) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
-        rig.register(at(millis), "life-1", cpu(room), false);
+    for (millis, resources) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
+        rig.register(at(millis), "life-1", cpu(resources), false);
     }
     let known: Vec<(u32, bool)> = rig
         .remembered
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -7,12 +7,12 @@
     OrderFailure, Rejection, WorkerEndKind, WorkerLists,
 };
 use laurelstile_core::leased::agent::{AgentDecision, AgentEvent, LifeEnd, OrderAnswer};
-use laurelstile_core::leased::life_name::Born;
 use laurelstile_core::leased::messages::{EndKind, NotStartedReason, ToAgentBody};
 use laurelstile_core::leased::task::RunNumber;
+use laurelstile_core::leased::worker_incarnation::StartTime;
 use leased_support::{
-    AgentRig, FIRST, SECOND, answers_reborn, at, cpu, in_first_life, life, lists, run, running,
-    task, word,
+    AgentRig, FIRST_START, SECOND_START, answer_restarted, at, cpu, heartbeat_of,
+    in_first_incarnation, incarnation, lists, run, running, task,
 };
 
 /// A command for the previous incarnation that is still in flight must not be carried out by the
@@ -21,12 +21,16 @@
 fn commands_for_the_previous_incarnation_are_fenced_off() {
     let mut rig = running();
     let before = rig.last_token();
-    rig.answer_watch_of(at(40), Some(Born(SECOND)), Ok(WorkerLists::default()));
+    rig.answer_watch_of(
+        at(40),
+        Some(StartTime(SECOND_START)),
+        Ok(WorkerLists::default()),
+    );
     let next = rig
         .orders
         .back()
         .expect("the next incarnation is queried at once");
-    assert_eq!(next.life, life(SECOND));
+    assert_eq!(next.life, incarnation(SECOND_START));
     assert!(Some(next.token.0) > before);
     assert!(!rig.is_available(), "not before it has answered the watch");
 }
@@ -35,8 +39,8 @@
 #[test]
 fn a_token_that_is_far_too_low_is_raised_quickly() {
     let mut rig = AgentRig::new();
-    rig.life = life(FIRST);
-    rig.heartbeat(at(0), word(FIRST, 9_000, 4_000, false));
+    rig.incarnation = incarnation(FIRST_START);
+    rig.heartbeat(at(0), heartbeat_of(FIRST_START, 9_000, 4_000, false));
     let seen = rig.last_token().expect("a watch") + 3_600_000;
     let mut rejections = 0;
     while rig.last_token() <= Some(seen) {
@@ -49,11 +53,11 @@
 /// A start that is unanswered when the worker's process ends; the next incarnation may carry it
 /// out.
 fn with_unanswered_start() -> AgentRig {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
-    rig.lose_start(at(35), started);
+    rig.time_out_start(at(35), started);
     rig.take_stops();
     rig.refuse_watch(at(36));
     rig
@@ -63,8 +67,8 @@
 fn an_unanswered_start_ends_only_after_the_next_incarnation_has_stopped_it() {
     let mut rig = with_unanswered_start();
     assert!(rig.ends().is_empty(), "the start may still be carried out");
-    rig.life = life(SECOND);
-    rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), WorkerLists::default());
     assert_eq!(rig.take_stops(), [run(1, 0)]);
     assert!(rig.ends().is_empty());
@@ -79,8 +83,8 @@
 #[test]
 fn a_start_carried_out_by_the_next_incarnation_is_stopped() {
     let mut rig = with_unanswered_start();
-    rig.life = life(SECOND);
-    rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), lists(&[(run(1, 0), 10)], &[]));
     rig.answer_stop(at(502), run(1, 0), true);
     assert!(rig.ends().is_empty(), "the run has not ended");
@@ -95,7 +99,7 @@
     let mut rig = with_unanswered_start();
     rig.register(at(500), "worker-2", cpu(4_000), false);
     assert!(rig.ends().is_empty());
-    rig.life = "worker-2".into();
+    rig.incarnation = "worker-2".into();
     rig.answer_watch(at(501), WorkerLists::default());
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
 }
@@ -103,7 +107,7 @@
 /// The result of the start arrives late: its connection was refused, so nothing was sent.
 #[test]
 fn a_start_that_was_never_sent_is_lost_at_once() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
@@ -111,7 +115,7 @@
     assert!(rig.ends().is_empty());
     let refused = AgentEvent::StartAnswered {
         run: started,
-        life: life(FIRST),
+        life: incarnation(FIRST_START),
         answer: Err(OrderFailure::Refused),
     };
     rig.event(at(21), refused);
@@ -125,9 +129,9 @@
     let batch = rig.batch(2, 1, 50);
     rig.message(at(20), batch);
     let started = rig.take_starts()[0];
-    rig.lose_start(at(45), started);
+    rig.time_out_start(at(45), started);
     for millis in [60, 90] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     rig.tick(at(1_000));
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
@@ -145,8 +149,8 @@
 fn a_run_started_by_the_next_incarnation_with_an_old_lease_is_stopped() {
     let mut rig = running();
     let shown = lists(&[(run(1, 0), 10)], &[]);
-    rig.heartbeat(at(30), word(SECOND, 1, 4_000, false));
-    answers_reborn(&mut rig, at(31), SECOND, shown);
+    rig.heartbeat(at(30), heartbeat_of(SECOND_START, 1, 4_000, false));
+    answer_restarted(&mut rig, at(31), SECOND_START, shown);
     assert_eq!(
         rig.ends(),
         [(task(1, 1), EndKind::Lost)],
@@ -163,14 +167,14 @@
 /// A start that the previous incarnation rejected was not carried out.
 #[test]
 fn a_delayed_rejection_ends_a_held_start() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts()[0];
     rig.refuse_watch(at(20));
     let rejected = AgentEvent::StartAnswered {
         run: started,
-        life: life(FIRST),
+        life: incarnation(FIRST_START),
         answer: Ok(OrderAnswer {
             clock: None,
             rejection: Some(Rejection::Full),
@@ -184,7 +188,7 @@
 /// An answer to an earlier run of a task must not confirm a later one.
 #[test]
 fn an_answer_to_an_earlier_run_confirms_no_later_one() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     for number in 1..=2 {
         let mut batch = rig.batch(1, 1, 50);
         if let ToAgentBody::Start(batch) = &mut batch {
@@ -193,7 +197,7 @@
         rig.message(at(u64::from(number) * 10), batch);
         let started = rig.take_starts()[0];
         if number == 1 {
-            rig.lose_start(at(12), started);
+            rig.time_out_start(at(12), started);
             rig.answer_stop(at(13), started, true);
             for millis in [14, 15] {
                 rig.answer_watch(at(millis), WorkerLists::default());
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -13,7 +13,7 @@
 
 /// An agent whose worker runs one task in incarnation `life-1`.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
@@ -49,7 +49,7 @@
 fn a_new_incarnation_starts_once_the_worker_reports_the_end_of_the_old_one() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
     let order = rig.orders.back().expect("a watch of the new incarnation");
     assert_eq!(order.life, "life-2".into());
@@ -60,7 +60,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), true);
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     rig.take_watches();
     assert!(!rig.is_available());
 }
@@ -71,7 +71,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
     for millis in [50, 100, 200] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     assert!(rig.ends().is_empty(), "the leases have not expired yet");
     rig.tick(at(1_200));
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -10,34 +10,35 @@
     Registration, Rejection, WorkerClock, WorkerEndKind, WorkerLists,
 };
 use laurelstile_core::leased::agent::{AgentDecision, AgentEvent, WatchAnswer};
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use leased_support::{
-    AgentRig, FIRST, SECOND, SECOND_BY_A_CLOCK_SET_BACK, answers_reborn, at, cpu, in_first_life,
-    life, lists, registration, returned, run, running, task, word,
+    AgentRig, FIRST_START, SECOND_START, SECOND_START_AFTER_CLOCK_STEP, answer_restarted, at, cpu,
+    heartbeat_of, in_first_incarnation, incarnation, lists, registration, restarted, run, running,
+    task,
 };
 use rstest::rstest;
 
 /// Also for workers that report no start time.
 #[rstest]
-#[case::with_start_time(Some(FIRST), Some(SECOND))]
+#[case::with_start_time(Some(FIRST_START), Some(SECOND_START))]
 #[case::without_start_time(None, None)]
 fn a_restarted_worker_that_drains_gets_no_tasks(
     #[case] first: Option<u64>,
     #[case] second: Option<u64>,
 ) {
-    let named = |born: Option<u64>| LifeName {
+    let named = |started_at: Option<u64>| WorkerIncarnation {
         id: "worker-1".into(),
-        born: born.map(Born),
+        started_at: started_at.map(StartTime),
     };
     let mut rig = AgentRig::new();
-    rig.life = named(first);
+    rig.incarnation = named(first);
     rig.heartbeat(at(0), registration(at(0), named(first), cpu(4_000), false));
     rig.answer_watch(at(1), WorkerLists::default());
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     rig.refuse_watch(at(20));
-    rig.life = named(second);
+    rig.incarnation = named(second);
     let back = registration(at(500), named(second), cpu(4_000), false);
     rig.heartbeat(at(500), back);
     rig.answer_watch(at(501), WorkerLists::default());
@@ -54,8 +55,8 @@
 
 #[test]
 fn reduced_capacity_after_a_restart_is_applied() {
-    let mut rig = returned();
-    rig.heartbeat(at(1_000), word(SECOND, 500, 1_000, false));
+    let mut rig = restarted();
+    rig.heartbeat(at(1_000), heartbeat_of(SECOND_START, 500, 1_000, false));
     let batch = rig.batch(2, 3, 0);
     rig.message(at(1_010), batch);
     assert_eq!(
@@ -68,11 +69,11 @@
 /// The heartbeats of a restarted worker keep its capacity valid.
 #[test]
 fn heartbeats_after_a_restart_are_not_ignored() {
-    let mut rig = returned();
+    let mut rig = restarted();
     for second in 1..20 {
         rig.heartbeat(
             at(500 + second * 1_000),
-            word(SECOND, second * 1_000, 4_000, false),
+            heartbeat_of(SECOND_START, second * 1_000, 4_000, false),
         );
     }
     let ignored =
@@ -83,34 +84,34 @@
 /// A graceful shutdown followed by a restart.
 #[test]
 fn a_worker_that_deregistered_and_restarted_is_used_again() {
-    let mut rig = in_first_life();
-    rig.heartbeat(at(1_000), word(FIRST, 10_000, 4_000, true));
+    let mut rig = in_first_incarnation();
+    rig.heartbeat(at(1_000), heartbeat_of(FIRST_START, 10_000, 4_000, true));
     rig.deregister(at(3_100));
     rig.answer_watch(at(3_101), WorkerLists::default());
     assert_eq!(rig.deregistrations, ["worker-1"]);
-    rig.heartbeat(at(3_200), word(FIRST, 12_200, 4_000, true));
-    rig.life = life(SECOND);
-    rig.heartbeat(at(4_000), word(SECOND, 1, 4_000, false));
+    rig.heartbeat(at(3_200), heartbeat_of(FIRST_START, 12_200, 4_000, true));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(4_000), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(4_001), WorkerLists::default());
     assert!(rig.is_available());
 }
 
 /// The end was not observed; run lists with another start time are evidence of it.
 #[rstest]
-#[case::later(SECOND)]
-#[case::clock_set_back(SECOND_BY_A_CLOCK_SET_BACK)]
-fn runs_before_an_unnoticed_restart_are_lost(#[case] born: u64) {
+#[case::later(SECOND_START)]
+#[case::clock_set_back(SECOND_START_AFTER_CLOCK_STEP)]
+fn runs_before_an_unnoticed_restart_are_lost(#[case] started_at: u64) {
     let mut rig = running();
-    rig.heartbeat(at(30), word(born, 1, 4_000, false));
+    rig.heartbeat(at(30), heartbeat_of(started_at, 1, 4_000, false));
     assert!(
         !rig.is_available(),
         "it is not known which incarnation is current"
     );
-    answers_reborn(&mut rig, at(31), born, WorkerLists::default());
+    answer_restarted(&mut rig, at(31), started_at, WorkerLists::default());
     let lost = [(task(1, 0), EndKind::Lost), (task(1, 1), EndKind::Lost)];
     assert_eq!(rig.ends(), lost);
     assert!(rig.is_available());
-    rig.heartbeat(at(1_000), word(born, 970, 4_000, true));
+    rig.heartbeat(at(1_000), heartbeat_of(started_at, 970, 4_000, true));
     assert!(!rig.is_available(), "the draining heartbeat is applied");
 }
 
@@ -119,17 +120,17 @@
 #[test]
 fn a_restart_known_from_run_lists_only_waits_for_the_first_heartbeat() {
     let mut rig = running();
-    answers_reborn(&mut rig, at(40), SECOND, WorkerLists::default());
+    answer_restarted(&mut rig, at(40), SECOND_START, WorkerLists::default());
     assert_eq!(rig.ends().len(), 2);
     assert!(!rig.is_available());
     let service = "nowhere".into();
-    let other = word(SECOND, 20, 500, true);
+    let other = heartbeat_of(SECOND_START, 20, 500, true);
     rig.heartbeat(at(50), Registration { service, ..other });
     assert!(
         !rig.is_available(),
         "a heartbeat of another service is ignored"
     );
-    rig.heartbeat(at(60), word(SECOND, 30, 1_000, false));
+    rig.heartbeat(at(60), heartbeat_of(SECOND_START, 30, 1_000, false));
     assert!(rig.is_available());
     let batch = rig.batch(2, 3, 0);
     rig.message(at(70), batch);
@@ -143,14 +144,14 @@
 #[test]
 fn leases_of_the_next_incarnation_use_its_own_clock() {
     let mut rig = running();
-    rig.heartbeat(at(30), word(SECOND, 1, 4_000, false));
-    for (asked, clock) in [(FIRST, 2), (SECOND, 3)] {
+    rig.heartbeat(at(30), heartbeat_of(SECOND_START, 1, 4_000, false));
+    for (asked, clock) in [(FIRST_START, 2), (SECOND_START, 3)] {
         let answer = Ok(WatchAnswer {
             clock: Some(WorkerClock(clock)),
-            born: Some(Born(SECOND)),
+            started_at: Some(StartTime(SECOND_START)),
             lists: Ok(WorkerLists::default()),
         });
-        let life = life(asked);
+        let life = incarnation(asked);
         rig.event(at(29 + clock), AgentEvent::Watched { life, answer });
     }
     rig.orders.clear();
@@ -170,7 +171,11 @@
     assert_eq!(rig.take_watches()[0].0, 7);
     rig.answer_watch(at(41), lists(&[(run(1, 1), 50)], &[]));
     assert_eq!(rig.take_watches()[0].0, 0, "acknowledged only once");
-    rig.answer_watch_of(at(70), Some(Born(SECOND)), Ok(WorkerLists::default()));
+    rig.answer_watch_of(
+        at(70),
+        Some(StartTime(SECOND_START)),
+        Ok(WorkerLists::default()),
+    );
     assert_eq!(rig.take_watches()[0].0, 0);
 }
 
@@ -189,8 +194,8 @@
 fn each_crash_under_one_id_is_reported() {
     let mut rig = running();
     rig.refuse_watch(at(20));
-    rig.life = life(SECOND);
-    rig.heartbeat(at(500), word(SECOND, 1, 4_000, false));
+    rig.incarnation = incarnation(SECOND_START);
+    rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), WorkerLists::default());
     let batch = rig.batch(1, 2, 50);
     rig.message(at(510), batch);
@@ -205,8 +210,14 @@
             FromAgentBody::Crashes(crashes) => Some(crashes),
             _ => None,
         });
-    let lives: Vec<&str> = crashes.flatten().map(|crash| crash.life.as_str()).collect();
-    let names = [life(FIRST).to_string(), life(SECOND).to_string()];
+    let lives: Vec<&str> = crashes
+        .flatten()
+        .map(|crash| crash.incarnation.as_str())
+        .collect();
+    let names = [
+        incarnation(FIRST_START).to_string(),
+        incarnation(SECOND_START).to_string(),
+    ];
     assert_eq!(lives, names);
 }
 
@@ -215,27 +226,30 @@
 #[test]
 fn a_recorded_incarnation_that_has_been_replaced_is_not_used() {
     let mut rig = AgentRig::new();
-    rig.life = life(FIRST);
-    rig.event(at(0), AgentEvent::Recalled(word(FIRST, 9_000, 4_000, true)));
-    answers_reborn(&mut rig, at(1), SECOND, WorkerLists::default());
-    rig.heartbeat(at(10), word(SECOND, 5, 4_000, false));
+    rig.incarnation = incarnation(FIRST_START);
+    rig.event(
+        at(0),
+        AgentEvent::Recalled(heartbeat_of(FIRST_START, 9_000, 4_000, true)),
+    );
+    answer_restarted(&mut rig, at(1), SECOND_START, WorkerLists::default());
+    rig.heartbeat(at(10), heartbeat_of(SECOND_START, 5, 4_000, false));
     assert!(rig.is_available(), "this incarnation is not draining");
 }
 
 /// The record for the next agent must be of the current incarnation.
 #[test]
 fn the_record_names_the_current_incarnation() {
-    let mut rig = returned();
-    rig.heartbeat(at(700), word(SECOND, 200, 4_000, true));
+    let mut rig = restarted();
+    rig.heartbeat(at(700), heartbeat_of(SECOND_START, 200, 4_000, true));
     let last = rig.remembered.last().expect("a record");
-    assert_eq!(last.registration.life, life(SECOND));
+    assert_eq!(last.registration.life, incarnation(SECOND_START));
     assert!(last.registration.draining && last.is_vital);
 }
 
 /// A suspended agent may have missed a restart of its worker.
 #[test]
 fn a_worker_is_queried_before_it_is_used_after_a_suspension() {
-    let mut rig = in_first_life();
+    let mut rig = in_first_incarnation();
     rig.tick(at(400));
     let batch = rig.batch(1, 1, 0);
     rig.message(at(5_000), batch);
