--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_history.rs
@@ -9,7 +9,7 @@
 
 use super::super::crashes::{CrashedTask, WorkerCrash};
 use super::super::worker_incarnation::WorkerIncarnation;
-use super::ledger::Run;
+use super::run_table::Run;
 use super::{LeasedAgent, LifeEnd};
 
 /// Number of crashes kept. A worker is down for seconds after each crash, and gateways keep
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -5,8 +5,8 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::lease::lease_expired_at;
-use super::ledger::StopReason;
-use super::life::WorkerState;
+use super::run_table::StopReason;
+use super::worker_state::WorkerState;
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd};
 
 /// Longest time that the answer to a deregistration is delayed while runs are stopped. The
--- a/laurelstile-core/src/leased/agent/lives.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -3,8 +3,8 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::worker_incarnation::StartTime;
-use super::life::WorkerState;
 use super::worker::Registration;
+use super::worker_state::WorkerState;
 use super::{AgentDecision, AgentEffect, IgnoredHeartbeat, LeasedAgent, LifeEnd, LifeSource};
 
 /// An incarnation that registered while another was current.
--- a/laurelstile-core/src/leased/agent/life_end.rs
+++ b/laurelstile-core/src/leased/agent/incarnation_end.rs
@@ -9,11 +9,11 @@
 use super::super::messages::{EndKind, NotStartedReason};
 use super::super::task::{RunId, TaskId};
 use super::super::worker_incarnation::{StartTime, WorkerIncarnation};
-use super::crash_memory::is_early;
-use super::ledger::{Run, RunState, StopReason};
-use super::life::WorkerState;
+use super::crash_history::is_early;
 use super::proof::EndProof;
+use super::run_table::{Run, RunState, StopReason};
 use super::worker::{OrderFailure, Registration, WorkerClock};
+use super::worker_state::WorkerState;
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, LifeSource, LostRun, OrderAnswer};
 
 impl LeasedAgent {
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -4,9 +4,9 @@
 
 use super::super::timing::{LEASE_DURATION, MAX_LEASE_DURATION, MAX_STOP_TIME, OWNER_TIMEOUT};
 use super::LeasedAgent;
-use super::ledger::{Run, RunState};
-use super::life::WorkerState;
+use super::run_table::{Run, RunState};
 use super::worker::WorkerClock;
+use super::worker_state::WorkerState;
 
 /// When every run has ended at a worker whose lease was last renewed at `renewed`.
 pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -2,28 +2,28 @@
 //! decides what starts there. It renews the worker's leases and stops runs whose gateway is
 //! gone.
 
-mod crash_memory;
+mod capacity_freshness;
+mod crash_history;
 mod deregistration;
 pub mod events;
 mod health;
+mod heartbeats;
+mod incarnation_end;
 mod lease;
-mod ledger;
-mod life;
-mod life_end;
-mod lives;
 mod offers;
 mod outgoing;
 mod owner;
-mod past_lives;
+mod past_incarnations;
 mod progress;
 pub mod proof;
-mod room_knowledge;
+mod run_table;
 mod sessions;
-mod silence;
 mod starting;
 mod stopping;
+mod timeouts;
 mod watching;
 pub mod worker;
+mod worker_state;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,20 +36,20 @@
 use super::resources::Resources;
 use super::task::{RunId, TaskId};
 use crate::session::SessionId;
-use crash_memory::CrashHistory;
+use capacity_freshness::CapacityFreshness;
+pub use capacity_freshness::HeartbeatTimes;
+use crash_history::CrashHistory;
 pub use events::{
     AgentDecision, AgentEffect, AgentEvent, IgnoredHeartbeat, LifeEnd, LifeSource, LostRun, Order,
     OrderAnswer, OrderKind, WatchAnswer,
 };
 use health::{FinishedRun, Health};
-use ledger::{RunState, RunTable};
-use life::{IncarnationNumber, WorkerState};
 use owner::Owner;
-use past_lives::PastIncarnations;
+use past_incarnations::PastIncarnations;
 use proof::EndProof;
-use room_knowledge::CapacityFreshness;
-pub use room_knowledge::HeartbeatTimes;
+use run_table::{RunState, RunTable};
 use worker::FenceToken;
+use worker_state::{IncarnationNumber, WorkerState};
 
 /// Settings of an agent.
 #[derive(Clone, Debug)]
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -6,8 +6,8 @@
 use super::super::messages::{FromAgent, FromAgentBody, Report, Snapshot};
 use super::super::task::TaskId;
 use super::super::timing::{BUSY_HEARTBEAT_INTERVAL, BUSY_LINGER, IDLE_HEARTBEAT_INTERVAL};
-use super::ledger::{RunState, StopReason};
 use super::owner::Owner;
+use super::run_table::{RunState, StopReason};
 use super::{AgentEffect, LeasedAgent};
 use crate::session::SessionId;
 
--- a/laurelstile-core/src/leased/agent/progress.rs
+++ b/laurelstile-core/src/leased/agent/progress.rs
@@ -3,7 +3,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::task::TaskId;
-use super::ledger::{Run, RunState, StopReason};
+use super::run_table::{Run, RunState, StopReason};
 use super::worker::WorkerClock;
 use super::{AgentEffect, LeasedAgent};
 
--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/run_table.rs
@@ -11,8 +11,8 @@
 use super::super::resources::Resources;
 use super::super::task::{RunId, RunNumber, TaskId};
 use super::super::timing::MAX_STOP_TIME;
-use super::life::IncarnationNumber;
 use super::worker::WorkerClock;
+use super::worker_state::IncarnationNumber;
 
 /// Why a run is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -8,10 +8,10 @@
 use super::super::task::{RunId, TaskId};
 use super::super::timing::MAX_START_ECHO_AGE;
 use super::super::worker_incarnation::WorkerIncarnation;
-use super::ledger::{Run, RunState, StopReason};
-use super::life::IncarnationNumber;
 use super::proof::EndProof;
+use super::run_table::{Run, RunState, StopReason};
 use super::worker::{FenceToken, OrderFailure, Rejection, WorkerClock};
+use super::worker_state::IncarnationNumber;
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderAnswer, OrderKind};
 
 /// Maximum number of tasks that wait here for resources.
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -7,8 +7,8 @@
 use super::super::task::{RunId, TaskId};
 use super::super::timing::MAX_LEASE_DURATION;
 use super::super::worker_incarnation::WorkerIncarnation;
-use super::ledger::{Run, RunState, StopReason};
 use super::proof::EndProof;
+use super::run_table::{Run, RunState, StopReason};
 use super::worker::{OrderFailure, Rejection};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderAnswer, OrderKind};
 
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -11,10 +11,10 @@
 use super::super::timing::{MAX_LEASE_DURATION, MAX_STOP_TIME};
 use super::super::worker_incarnation::WorkerIncarnation;
 use super::lease::lease_expired_at;
-use super::ledger::{Run, RunState, StopReason};
-use super::life::{IncarnationNumber, WorkerState};
 use super::proof::EndProof;
+use super::run_table::{Run, RunState, StopReason};
 use super::worker::{OrderFailure, Rejection, WorkerEnd, WorkerEndKind, WorkerLists};
+use super::worker_state::{IncarnationNumber, WorkerState};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd, OrderKind, WatchAnswer};
 
 /// How long the worker may wait for a run to end before it answers.
--- a/laurelstile-core/src/leased/agent/life.rs
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -8,10 +8,10 @@
 use super::super::resources::Resources;
 use super::super::task::RunId;
 use super::super::worker_incarnation::WorkerIncarnation;
+use super::capacity_freshness::CapacityFreshness;
 use super::deregistration::Deregistration;
 use super::health::Health;
-use super::lives::SuccessorCandidate;
-use super::room_knowledge::CapacityFreshness;
+use super::heartbeats::SuccessorCandidate;
 use super::worker::{ClockEstimate, FenceToken, KnownLife, Registration, WorkerClock};
 use super::{AgentDecision, AgentEffect, LeasedAgent, LifeSource};
 
