--- a/laurelstile-core/src/leased/agent/incarnation_end.rs
+++ b/laurelstile-core/src/leased/agent/incarnation_end.rs
@@ -77,13 +77,13 @@
         };
         self.record_incarnation_end(now, &mut ended, IncarnationEnd::Restarted, listed, effects);
         self.held_worker_id = Some(Arc::clone(&ended.incarnation.id));
-        let incarnation = ended.incarnation.started_again_at(started_at);
+        let restarted = ended.incarnation.started_again_at(started_at);
         let registered = ended.successor.map(|successor| successor.registration);
-        match registered.filter(|registration| registration.life == incarnation) {
+        match registered.filter(|registration| registration.life == restarted) {
             Some(registration) => self.start_registered_incarnation(now, registration, effects),
             None => {
                 let registration = Registration {
-                    life: incarnation,
+                    life: restarted,
                     service: ended.service,
                     capacity: ended.capacity,
                     labels: ended.labels,
