--- a/laurelstile-core/src/leased/agent/capacity_freshness.rs
+++ b/laurelstile-core/src/leased/agent/capacity_freshness.rs
@@ -71,8 +71,10 @@
             return;
         };
         if self.capacity_freshness.take_staleness_notice(now) {
-            let life = worker.incarnation.clone();
-            effects.push(AgentEffect::Decided(AgentDecision::CapacityStale { life }));
+            let incarnation = worker.incarnation.clone();
+            effects.push(AgentEffect::Decided(AgentDecision::CapacityStale {
+                incarnation,
+            }));
         }
     }
 }
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -126,9 +126,9 @@
         }
         deregistration.answer(&worker.incarnation.id, effects);
         worker.deregistration = None;
-        let life = worker.incarnation.clone();
+        let incarnation = worker.incarnation.clone();
         effects.push(AgentEffect::Decided(AgentDecision::LateDeregistration {
-            life,
+            incarnation,
         }));
     }
 
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -59,7 +59,7 @@
         /// The run to start.
         run: RunId,
         /// Incarnation that the command was addressed to.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<CommandAnswer, CommandError>,
     },
@@ -68,14 +68,14 @@
         /// The run to stop.
         run: RunId,
         /// Incarnation that the command was addressed to.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<CommandAnswer, CommandError>,
     },
     /// A watch completed or failed.
     Watched {
         /// Incarnation that the command was addressed to.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// The worker's answer, or why there is none.
         answer: Result<WatchAnswer, CommandError>,
     },
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerCommand {
     /// Incarnation that the command is addressed to.
-    pub life: WorkerIncarnation,
+    pub incarnation: WorkerIncarnation,
     /// Fencing token of the agent.
     pub token: FenceToken,
     /// What the worker is to do.
@@ -264,14 +264,14 @@
     /// The agent has taken control of an incarnation of the worker: every run there is its own.
     ControlTaken {
         /// The controlled incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// Fencing token of the agent's commands.
         token: FenceToken,
     },
     /// An incarnation of the worker became the current one.
     IncarnationStarted {
         /// The new incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// How the agent learned of it.
         source: IncarnationSource,
         /// Whether it is draining.
@@ -280,7 +280,7 @@
     /// A heartbeat was answered, and its contents were ignored.
     HeartbeatIgnored {
         /// Incarnation that it names.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// Why it was ignored.
         reason: HeartbeatIgnoreReason,
         /// Whether it reports the worker as draining.
@@ -292,7 +292,7 @@
     /// Nothing starts there until the next one.
     CapacityStale {
         /// The current incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
     },
     /// A start was unanswered when the worker's incarnation ended. The next incarnation under
     /// the same id may still carry it out, so the task is not repeated until that is ruled out.
@@ -303,14 +303,14 @@
     /// A deregistration came from an earlier incarnation and is disregarded.
     LateDeregistration {
         /// The current incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
     },
     /// A delayed heartbeat of an ended incarnation arrived while the current one still answers.
     LateHeartbeat {
         /// The ended incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// The current incarnation.
-        present: WorkerIncarnation,
+        current: WorkerIncarnation,
     },
     /// A session was closed because nothing arrived on it.
     SessionSilent {
@@ -342,7 +342,7 @@
     /// An incarnation of the worker has ended.
     IncarnationEnded {
         /// The ended incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// How the agent learned of the end.
         end: IncarnationEnd,
         /// Runs that ended with it.
@@ -351,7 +351,7 @@
     /// The worker reported a changed capacity.
     CapacityChanged {
         /// The current incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
         /// Capacity before the change.
         before: Resources,
         /// Capacity after the change.
@@ -360,7 +360,7 @@
     /// The worker began to drain.
     Draining {
         /// The draining incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
     },
     /// The worker's zone was evacuated, or its evacuation was revoked.
     Evacuated {
@@ -372,7 +372,7 @@
     /// The worker does not answer.
     WorkerSilent {
         /// The current incarnation.
-        life: WorkerIncarnation,
+        incarnation: WorkerIncarnation,
     },
     /// The agent stops a run without a request from its gateway.
     Stopping {
--- a/laurelstile-core/src/leased/agent/heartbeats.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -27,7 +27,7 @@
     ) {
         if let Some(reason) = self.ignore_reason(now, &registration) {
             ignore_heartbeat(registration, reason, effects);
-        } else if self.is_current(&registration.life) {
+        } else if self.is_current(&registration.incarnation) {
             self.apply_heartbeat(now, registration, effects);
         } else if self.worker.is_some() {
             self.set_successor(now, registration);
@@ -44,7 +44,7 @@
         now: Timestamp,
         registration: &Registration,
     ) -> Option<HeartbeatIgnoreReason> {
-        let incarnation = &registration.life;
+        let incarnation = &registration.incarnation;
         if self.past_incarnations.is_leaving(now, incarnation) {
             return Some(HeartbeatIgnoreReason::DeregisteredIncarnation);
         }
@@ -92,8 +92,10 @@
         let begins_to_drain = registration.draining && !worker.draining;
         if begins_to_drain {
             worker.draining = true;
-            let life = worker.incarnation.clone();
-            effects.push(AgentEffect::Decided(AgentDecision::Draining { life }));
+            let incarnation = worker.incarnation.clone();
+            effects.push(AgentEffect::Decided(AgentDecision::Draining {
+                incarnation,
+            }));
         }
         let has_shrunk = !is_late && self.apply_capacity(&registration, effects);
         if !is_late {
@@ -126,7 +128,7 @@
             return false;
         }
         effects.push(AgentEffect::Decided(AgentDecision::CapacityChanged {
-            life: worker.incarnation.clone(),
+            incarnation: worker.incarnation.clone(),
             before: worker.capacity,
             now: capacity,
         }));
@@ -148,7 +150,8 @@
             return;
         };
         let known = worker.successor.take();
-        let known = known.filter(|known| known.registration.life == registration.life);
+        let known =
+            known.filter(|known| known.registration.incarnation == registration.incarnation);
         let was_draining = known
             .as_ref()
             .is_some_and(|known| known.registration.draining);
@@ -177,10 +180,10 @@
         let Some(successor) = worker.successor.take_if(is_earlier) else {
             return;
         };
-        let late = successor.registration.life;
+        let late = successor.registration.incarnation;
         effects.push(AgentEffect::Decided(AgentDecision::LateHeartbeat {
-            life: late.clone(),
-            present: worker.incarnation.clone(),
+            incarnation: late.clone(),
+            current: worker.incarnation.clone(),
         }));
         self.past_incarnations.record_ended(late);
     }
@@ -208,7 +211,7 @@
         registration: Registration,
         effects: &mut Vec<AgentEffect>,
     ) {
-        if self.worker.is_none() && !self.past_incarnations.contains(&registration.life) {
+        if self.worker.is_none() && !self.past_incarnations.contains(&registration.incarnation) {
             self.start_incarnation(now, registration, IncarnationSource::Record, effects);
         }
     }
@@ -229,7 +232,8 @@
     /// which of the two incarnations is current.
     pub(super) fn has_possible_restart(&self) -> bool {
         let successor = self.successor.as_ref();
-        successor.is_some_and(|successor| successor.registration.life.id == self.incarnation.id)
+        successor
+            .is_some_and(|successor| successor.registration.incarnation.id == self.incarnation.id)
     }
 
     /// The start time of the process that answered a watch sent at `queried_at`, if it is a
@@ -245,7 +249,7 @@
             return answered;
         }
         let successor = self.successor.as_ref()?;
-        let registered_start = successor.registration.life.started_at;
+        let registered_start = successor.registration.incarnation.started_at;
         let has_restarted = match answered {
             Some(_) => {
                 registered_start == answered && registered_start != self.incarnation.started_at
@@ -263,7 +267,7 @@
     effects: &mut Vec<AgentEffect>,
 ) {
     effects.push(AgentEffect::Decided(AgentDecision::HeartbeatIgnored {
-        life: registration.life,
+        incarnation: registration.incarnation,
         reason,
         draining: registration.draining,
         sequence: registration.sequence,
--- a/laurelstile-core/src/leased/agent/incarnation_end.rs
+++ b/laurelstile-core/src/leased/agent/incarnation_end.rs
@@ -54,8 +54,9 @@
         }
         let next = ended.successor.map(|successor| successor.registration);
         let next = next.filter(|next| {
-            let is_gone = end == IncarnationEnd::Superseded && next.life.id == incarnation.id;
-            !is_gone && !self.past_incarnations.is_leaving(now, &next.life)
+            let is_gone =
+                end == IncarnationEnd::Superseded && next.incarnation.id == incarnation.id;
+            !is_gone && !self.past_incarnations.is_leaving(now, &next.incarnation)
         });
         if let Some(registration) = next {
             self.start_registered_incarnation(now, registration, effects);
@@ -79,11 +80,11 @@
         self.held_worker_id = Some(Arc::clone(&ended.incarnation.id));
         let restarted = ended.incarnation.started_again_at(started_at);
         let registered = ended.successor.map(|successor| successor.registration);
-        match registered.filter(|registration| registration.life == restarted) {
+        match registered.filter(|registration| registration.incarnation == restarted) {
             Some(registration) => self.start_registered_incarnation(now, registration, effects),
             None => {
                 let registration = Registration {
-                    life: restarted,
+                    incarnation: restarted,
                     service: ended.service,
                     capacity: ended.capacity,
                     labels: ended.labels,
@@ -129,7 +130,7 @@
             .collect();
         self.record_crash(&worker.incarnation, worker.draining, end, started_tasks);
         effects.push(AgentEffect::Decided(AgentDecision::IncarnationEnded {
-            life: worker.incarnation.clone(),
+            incarnation: worker.incarnation.clone(),
             end,
             runs,
         }));
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -135,13 +135,24 @@
                 self.on_record_loaded(now, registration, effects)
             }
             AgentEvent::Deregistration { id } => self.on_deregistration(now, &id, effects),
-            AgentEvent::StartAnswered { run, life, answer } => {
-                self.on_start_answered(now, run, &life, answer, effects);
+            AgentEvent::StartAnswered {
+                run,
+                incarnation,
+                answer,
+            } => {
+                self.on_start_answered(now, run, &incarnation, answer, effects);
             }
-            AgentEvent::StopAnswered { run, life, answer } => {
-                self.on_stop_answered(now, run, &life, answer, effects);
+            AgentEvent::StopAnswered {
+                run,
+                incarnation,
+                answer,
+            } => {
+                self.on_stop_answered(now, run, &incarnation, answer, effects);
             }
-            AgentEvent::Watched { life, answer } => self.on_watched(now, &life, answer, effects),
+            AgentEvent::Watched {
+                incarnation,
+                answer,
+            } => self.on_watched(now, &incarnation, answer, effects),
             AgentEvent::Stop => {
                 self.stopping_since.get_or_insert(now);
             }
@@ -255,7 +266,7 @@
             return;
         };
         effects.push(AgentEffect::Command(WorkerCommand {
-            life: worker.incarnation.clone(),
+            incarnation: worker.incarnation.clone(),
             token: worker.token,
             kind,
         }));
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -103,8 +103,10 @@
                 worker.unanswered_watches += 1;
                 worker.watch_from = now.after(watch_retry_delay(worker.unanswered_watches));
                 if worker.unanswered_watches == 1 {
-                    let life = worker.incarnation.clone();
-                    effects.push(AgentEffect::Decided(AgentDecision::WorkerSilent { life }));
+                    let incarnation = worker.incarnation.clone();
+                    effects.push(AgentEffect::Decided(AgentDecision::WorkerSilent {
+                        incarnation,
+                    }));
                 }
             }
             Ok(answer) => self.on_watch_answered(now, queried_at, answer, effects),
@@ -177,7 +179,7 @@
         if worker.orphans.is_empty() && !worker.has_logged_control {
             worker.has_logged_control = true;
             let decision = AgentDecision::ControlTaken {
-                life: worker.incarnation.clone(),
+                incarnation: worker.incarnation.clone(),
                 token: worker.token,
             };
             effects.push(AgentEffect::Decided(decision));
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -34,7 +34,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Incarnation of the worker that sent it.
-    pub life: WorkerIncarnation,
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
     /// Name of the service that it serves.
     pub service: String,
     /// Total capacity.
--- a/laurelstile-core/src/leased/agent/worker_state.rs
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -89,7 +89,7 @@
     /// The record that the next agent reads at start.
     pub fn known(&self, now: Timestamp) -> IncarnationRecord {
         let registration = Registration {
-            life: self.incarnation.clone(),
+            incarnation: self.incarnation.clone(),
             service: self.service.clone(),
             capacity: self.least_capacity,
             labels: self.labels.clone(),
@@ -127,21 +127,21 @@
         source: IncarnationSource,
         effects: &mut Vec<AgentEffect>,
     ) {
-        self.past_incarnations.forget(&registration.life);
+        self.past_incarnations.forget(&registration.incarnation);
         self.incarnation_number.0 += 1;
         self.token = FenceToken(self.token.0 + 1);
         if source == IncarnationSource::Lists {
             self.capacity_freshness = CapacityFreshness::default();
         }
         effects.push(AgentEffect::Decided(AgentDecision::IncarnationStarted {
-            life: registration.life.clone(),
+            incarnation: registration.incarnation.clone(),
             source,
             draining: registration.draining,
         }));
         let mut clock = ClockEstimate::default();
         clock.update(now, registration.clock);
         self.worker = Some(WorkerState {
-            incarnation: registration.life,
+            incarnation: registration.incarnation,
             number: self.incarnation_number,
             source,
             service: registration.service,
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -203,12 +203,12 @@
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
     let answer = Err(CommandError::IncarnationEnded);
-    let life = "life-1".into();
+    let incarnation = "life-1".into();
     rig.event(
         at(2),
         AgentEvent::StartAnswered {
             run: id,
-            life,
+            incarnation,
             answer,
         },
     );
@@ -482,8 +482,14 @@
     rig.recall(at(5_000), "life-1", cpu(2_000));
     let before = rig.last_token();
     let answer = Err(CommandError::IncarnationEnded);
-    let life = "life-1".into();
-    rig.event(at(5_001), AgentEvent::Watched { life, answer });
+    let incarnation = "life-1".into();
+    rig.event(
+        at(5_001),
+        AgentEvent::Watched {
+            incarnation,
+            answer,
+        },
+    );
     assert!(!rig.is_available());
     rig.register(at(5_500), "life-2", cpu(2_000), false);
     assert!(rig.last_token() > before, "earlier commands are fenced off");
@@ -495,12 +501,12 @@
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let id = rig.take_starts()[0];
-    let (answer, life) = (Err(CommandError::IncarnationEnded), "life-1".into());
+    let (answer, incarnation) = (Err(CommandError::IncarnationEnded), "life-1".into());
     rig.event(
         at(2),
         AgentEvent::StartAnswered {
             run: id,
-            life,
+            incarnation,
             answer,
         },
     );
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -26,7 +26,7 @@
 
 fn registration(millis: u64, capacity: u32) -> Registration {
     Registration {
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         service: "parcels".into(),
         capacity: cpu(capacity),
         labels: Vec::new(),
@@ -42,7 +42,7 @@
     machine.handle(at(millis), event, &mut effects);
     machine.flush(at(millis), &mut effects);
     let watched = AgentEvent::Watched {
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         answer: Ok(WatchAnswer {
             started_at: None,
             clock: Some(worker_clock(at(millis))),
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -16,13 +16,13 @@
 const LATE: bool = false;
 
 /// A crash of a life under tasks of job 1, by their indices.
-fn crash(life: &str, is_early: bool, runs: u32, indices: &[u32]) -> WorkerCrash {
+fn crash(incarnation: &str, is_early: bool, runs: u32, indices: &[u32]) -> WorkerCrash {
     let tasks = indices.iter().map(|index| CrashedTask {
         task: task(1, *index),
         is_early,
     });
     WorkerCrash {
-        incarnation: life.into(),
+        incarnation: incarnation.into(),
         runs,
         tasks: tasks.collect(),
     }
@@ -51,8 +51,13 @@
     runs: u32,
 ) {
     let indices: Vec<u32> = batch.1.tasks.iter().map(|(index, _)| *index).collect();
-    let life = format!("life-{}-{}", batch.0.0, now.0);
-    tell(rig, now, batch.0, &crash(&life, is_early, runs, &indices));
+    let incarnation = format!("life-{}-{}", batch.0.0, now.0);
+    tell(
+        rig,
+        now,
+        batch.0,
+        &crash(&incarnation, is_early, runs, &indices),
+    );
     rig.end(now, batch, EndKind::Lost, cpu(0));
 }
 
@@ -350,7 +355,7 @@
     rig.take_starts();
     let refused = AgentEvent::StartAnswered {
         run: run(2, 0),
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         answer: Err(CommandError::IncarnationEnded),
     };
     rig.event(at(71), refused);
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -28,7 +28,7 @@
         .orders
         .back()
         .expect("the next incarnation is queried at once");
-    assert_eq!(next.life, incarnation(SECOND_START));
+    assert_eq!(next.incarnation, incarnation(SECOND_START));
     assert!(Some(next.token.0) > before);
     assert!(!rig.is_available(), "not before it has answered the watch");
 }
@@ -113,7 +113,7 @@
     assert!(rig.ends().is_empty());
     let refused = AgentEvent::StartAnswered {
         run: started,
-        life: incarnation(FIRST_START),
+        incarnation: incarnation(FIRST_START),
         answer: Err(CommandError::ConnectionRefused),
     };
     rig.event(at(21), refused);
@@ -172,7 +172,7 @@
     rig.refuse_watch(at(20));
     let rejected = AgentEvent::StartAnswered {
         run: started,
-        life: incarnation(FIRST_START),
+        incarnation: incarnation(FIRST_START),
         answer: Ok(CommandAnswer {
             clock: None,
             rejection: Some(Rejection::Full),
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -52,7 +52,7 @@
     rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
     let order = rig.orders.back().expect("a watch of the new incarnation");
-    assert_eq!(order.life, "life-2".into());
+    assert_eq!(order.incarnation, "life-2".into());
 }
 
 #[test]
@@ -79,7 +79,11 @@
     rig.orders.clear();
     rig.tick(at(1_201));
     rig.tick(at(1_300));
-    let lives: Vec<&str> = rig.orders.iter().map(|order| &*order.life.id).collect();
+    let lives: Vec<&str> = rig
+        .orders
+        .iter()
+        .map(|order| &*order.incarnation.id)
+        .collect();
     assert!(lives.iter().all(|life| *life == "life-2"), "{lives:?}");
 }
 
@@ -94,9 +98,9 @@
     };
     let mut machine = LeasedAgent::new(options);
     let mut remembered = Vec::new();
-    for (millis, life) in [(0, "life-1"), (10, "life-0"), (20, "life-1")] {
+    for (millis, incarnation) in [(0, "life-1"), (10, "life-0"), (20, "life-1")] {
         let registration = Registration {
-            life: life.into(),
+            incarnation: incarnation.into(),
             service: "parcels".into(),
             capacity: cpu(1_000),
             labels: Vec::new(),
@@ -111,7 +115,7 @@
             &mut effects,
         );
         remembered.extend(effects.into_iter().filter_map(|effect| match effect {
-            AgentEffect::StoreRecord(known) => Some(known.registration.life),
+            AgentEffect::StoreRecord(known) => Some(known.registration.incarnation),
             _ => None,
         }));
     }
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -138,7 +138,7 @@
         at(20),
         AgentEvent::StopAnswered {
             run: runs[0],
-            life: "life-1".into(),
+            incarnation: "life-1".into(),
             answer: Err(CommandError::ConnectionRefused),
         },
     );
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -151,8 +151,14 @@
             started_at: Some(StartTime(SECOND_START)),
             lists: Ok(RunLists::default()),
         });
-        let life = incarnation(asked);
-        rig.event(at(29 + clock), AgentEvent::Watched { life, answer });
+        let incarnation = incarnation(asked);
+        rig.event(
+            at(29 + clock),
+            AgentEvent::Watched {
+                incarnation,
+                answer,
+            },
+        );
     }
     rig.orders.clear();
     let batch = rig.batch(2, 1, 0);
@@ -242,7 +248,7 @@
     let mut rig = restarted();
     rig.heartbeat(at(700), heartbeat_of(SECOND_START, 200, 4_000, true));
     let last = rig.remembered.last().expect("a record");
-    assert_eq!(last.registration.life, incarnation(SECOND_START));
+    assert_eq!(last.registration.incarnation, incarnation(SECOND_START));
     assert!(last.registration.draining && last.is_vital);
 }
 
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -69,12 +69,12 @@
 /// What the worker says of itself in a life.
 pub fn registration(
     now: Timestamp,
-    life: WorkerIncarnation,
+    incarnation: WorkerIncarnation,
     capacity: Resources,
     draining: bool,
 ) -> Registration {
     Registration {
-        life,
+        incarnation,
         service: "parcels".into(),
         capacity,
         labels: Vec::new(),
@@ -202,8 +202,17 @@
     }
 
     /// The worker registers or sends a heartbeat.
-    pub fn register(&mut self, now: Timestamp, life: &str, capacity: Resources, draining: bool) {
-        self.heartbeat(now, registration(now, life.into(), capacity, draining));
+    pub fn register(
+        &mut self,
+        now: Timestamp,
+        incarnation: &str,
+        capacity: Resources,
+        draining: bool,
+    ) {
+        self.heartbeat(
+            now,
+            registration(now, incarnation.into(), capacity, draining),
+        );
     }
 
     /// A heartbeat of the worker comes.
@@ -212,9 +221,9 @@
     }
 
     /// The record of an earlier agent is read; its clock is old.
-    pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Resources) {
+    pub fn recall(&mut self, now: Timestamp, incarnation: &str, capacity: Resources) {
         let registration = Registration {
-            life: life.into(),
+            incarnation: incarnation.into(),
             service: "parcels".into(),
             capacity,
             labels: Vec::new(),
@@ -347,7 +356,7 @@
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.incarnation.clone(),
+                incarnation: self.incarnation.clone(),
                 answer,
             },
         );
@@ -359,7 +368,7 @@
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.incarnation.clone(),
+                incarnation: self.incarnation.clone(),
                 answer: Err(CommandError::NoAnswer),
             },
         );
@@ -379,7 +388,7 @@
             now,
             AgentEvent::StopAnswered {
                 run,
-                life: self.incarnation.clone(),
+                incarnation: self.incarnation.clone(),
                 answer,
             },
         );
@@ -412,7 +421,7 @@
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.incarnation.clone(),
+                incarnation: self.incarnation.clone(),
                 answer,
             },
         );
@@ -438,7 +447,7 @@
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.incarnation.clone(),
+                incarnation: self.incarnation.clone(),
                 answer: Err(failure),
             },
         );
--- a/laurelstile-sim/src/fleet/machines.rs
+++ b/laurelstile-sim/src/fleet/machines.rs
@@ -182,7 +182,7 @@
 /// What the worker beside an agent says of itself. It has run since before the fleet.
 pub fn registration(index: usize, now: u64) -> Registration {
     Registration {
-        life: format!("worker-{index}").as_str().into(),
+        incarnation: format!("worker-{index}").as_str().into(),
         service: SERVICE.into(),
         capacity: Resources {
             cpu_millis: 16_000,
--- a/laurelstile-sim/src/fleet/world.rs
+++ b/laurelstile-sim/src/fleet/world.rs
@@ -232,9 +232,15 @@
                     started_at: None,
                     lists: Ok(RunLists::default()),
                 };
-                let life = order.life;
+                let incarnation = order.incarnation;
                 let answer = Ok(answer);
-                self.agent_event(machine, AgentEvent::Watched { life, answer });
+                self.agent_event(
+                    machine,
+                    AgentEvent::Watched {
+                        incarnation,
+                        answer,
+                    },
+                );
             }
         }
     }
--- a/laurelstile-sim/src/leased/orders.rs
+++ b/laurelstile-sim/src/leased/orders.rs
@@ -86,7 +86,7 @@
         let life = self.workers[worker].life;
         let worker_state = &self.workers[worker];
         let is_nobody_there = life == 0 && worker_state.keeps_id;
-        if life == 0 || *worker_state.id != *order.life.id {
+        if life == 0 || *worker_state.id != *order.incarnation.id {
             let failure = if is_nobody_there {
                 CommandError::ConnectionRefused
             } else {
@@ -113,7 +113,7 @@
                         lists: Err(rejection),
                     };
                     let event = AgentEvent::Watched {
-                        life: order.life.clone(),
+                        incarnation: order.incarnation.clone(),
                         answer: Ok(answer),
                     };
                     if !is_lost {
@@ -123,11 +123,11 @@
                 }
                 let number = self.fresh();
                 if !is_lost {
-                    let life = order.life.clone();
+                    let incarnation = order.incarnation.clone();
                     self.watches[worker] = Some(PendingWatch {
                         number,
                         agent,
-                        life,
+                        incarnation,
                     });
                 }
                 let has_ends = !self.workers[worker].lists(self.now).ended.is_empty();
@@ -202,7 +202,7 @@
             return;
         };
         let event = AgentEvent::Watched {
-            life: self.workers[worker].worker_incarnation(),
+            incarnation: self.workers[worker].worker_incarnation(),
             answer: Err(CommandError::NoAnswer),
         };
         self.answer_agent(worker, watch.agent, NEARBY, event);
@@ -238,7 +238,7 @@
             lists: Ok(lists),
         };
         let event = AgentEvent::Watched {
-            life: watch.life,
+            incarnation: watch.incarnation,
             answer: Ok(answer),
         };
         self.answer_agent(worker, watch.agent, NEARBY, event);
@@ -265,20 +265,20 @@
 }
 
 fn event_of(order: &WorkerCommand, answer: Result<CommandAnswer, CommandError>) -> AgentEvent {
-    let life = order.life.clone();
+    let incarnation = order.incarnation.clone();
     match &order.kind {
         CommandKind::Start { run, .. } => AgentEvent::StartAnswered {
             run: *run,
-            life,
+            incarnation,
             answer,
         },
         CommandKind::Stop { run } => AgentEvent::StopAnswered {
             run: *run,
-            life,
+            incarnation,
             answer,
         },
         CommandKind::Watch { .. } => AgentEvent::Watched {
-            life,
+            incarnation,
             answer: answer.map(|answer| WatchAnswer {
                 clock: answer.clock,
                 started_at: None,
--- a/laurelstile-sim/src/leased/world/heartbeats.rs
+++ b/laurelstile-sim/src/leased/world/heartbeats.rs
@@ -39,7 +39,7 @@
             state.capacity
         };
         Registration {
-            life: state.worker_incarnation(),
+            incarnation: state.worker_incarnation(),
             service: nodes::SERVICE.into(),
             capacity: Resources {
                 cpu_millis: capacity,
@@ -62,13 +62,13 @@
         registration.capacity.cpu_millis /= 8;
         registration.draining = true;
         match word {
-            OtherWord::NoBirth => registration.life.started_at = None,
+            OtherWord::NoBirth => registration.incarnation.started_at = None,
             OtherWord::Service => registration.service = "nowhere".into(),
             OtherWord::Birth => {
-                let started_at = registration.life.started_at.unwrap_or(StartTime(0));
-                registration.life.started_at = Some(StartTime(started_at.0 + 1));
+                let started_at = registration.incarnation.started_at.unwrap_or(StartTime(0));
+                registration.incarnation.started_at = Some(StartTime(started_at.0 + 1));
             }
-            OtherWord::Id => registration.life.id = "other".into(),
+            OtherWord::Id => registration.incarnation.id = "other".into(),
         }
         self.agent_event(worker, AgentEvent::Registered(registration));
     }
--- a/laurelstile-sim/src/leased/world/leaving.rs
+++ b/laurelstile-sim/src/leased/world/leaving.rs
@@ -38,12 +38,15 @@
             return;
         }
         self.deregistering[worker] = Some(life);
-        let life = self.workers[worker].worker_incarnation();
+        let incarnation = self.workers[worker].worker_incarnation();
         let event = if self.sabotage == Some(Sabotage::DeregistrationIsEnd) {
             let answer: Result<WatchAnswer, _> = Err(CommandError::IncarnationEnded);
-            AgentEvent::Watched { life, answer }
+            AgentEvent::Watched {
+                incarnation,
+                answer,
+            }
         } else {
-            AgentEvent::Deregistration { id: life.id }
+            AgentEvent::Deregistration { id: incarnation.id }
         };
         self.agent_event(worker, event);
     }
@@ -89,7 +92,9 @@
             return;
         }
         if let Some(ended) = self.ended_lives[worker].clone() {
-            let event = AgentEvent::Deregistration { id: ended.life.id };
+            let event = AgentEvent::Deregistration {
+                id: ended.incarnation.id,
+            };
             self.agent_event(worker, event);
         }
     }
--- a/laurelstile-sim/src/leased/world/mod.rs
+++ b/laurelstile-sim/src/leased/world/mod.rs
@@ -150,7 +150,7 @@
     /// The agent's incarnation.
     pub agent: Incarnation,
     /// The life that it asked.
-    pub life: WorkerIncarnation,
+    pub incarnation: WorkerIncarnation,
 }
 
 /// The world.
--- a/laurelstiled/src/leased/agent.rs
+++ b/laurelstiled/src/leased/agent.rs
@@ -304,22 +304,22 @@
 }
 
 async fn give<W: WorkerPort>(worker: &W, order: WorkerCommand) -> AgentEvent {
-    let life = order.life.clone();
+    let incarnation = order.incarnation.clone();
     match &order.kind {
         CommandKind::Start { run, .. } => AgentEvent::StartAnswered {
             run: *run,
-            life,
+            incarnation,
             answer: worker.order(&order, ORDER_LIMIT).await,
         },
         CommandKind::Stop { run } => AgentEvent::StopAnswered {
             run: *run,
-            life,
+            incarnation,
             answer: worker.order(&order, ORDER_LIMIT).await,
         },
         CommandKind::Watch { wait, .. } => {
             let limit = Duration::from_micros(wait.0) + WATCH_LIMIT;
             AgentEvent::Watched {
-                life,
+                incarnation,
                 answer: worker.watch(&order, limit).await,
             }
         }
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -150,35 +150,38 @@
         }
         match decision {
             AgentDecision::OfferExpired => {}
-            AgentDecision::ControlTaken { life, token } => {
-                log::info!(event = "worker_in_control", life:% = life, token = token.0; "");
+            AgentDecision::ControlTaken { incarnation, token } => {
+                log::info!(event = "worker_in_control", life:% = incarnation, token = token.0; "");
             }
             AgentDecision::IncarnationStarted {
-                life,
+                incarnation,
                 source,
                 draining,
             } => {
-                log::info!(event = "worker_life_began", life:% = life, source = source.name(), draining = *draining; "");
+                log::info!(event = "worker_life_began", life:% = incarnation, source = source.name(), draining = *draining; "");
             }
             AgentDecision::HeartbeatIgnored {
-                life,
+                incarnation,
                 reason,
                 draining,
                 sequence,
             } => {
-                log::warn!(event = "heartbeat_ignored", life:% = life, reason = reason.name(), draining = *draining, sequence = *sequence; "answered, and not heeded");
+                log::warn!(event = "heartbeat_ignored", life:% = incarnation, reason = reason.name(), draining = *draining, sequence = *sequence; "answered, and not heeded");
             }
             AgentDecision::StartHeld { run } => {
                 log::warn!(event = "start_held", task:% = run.task, run = run.run.0; "the worker's next life may yet carry it out");
             }
-            AgentDecision::LateDeregistration { life } => {
-                log::warn!(event = "late_deregistration", life:% = life; "it was that of an earlier life: this one goes on");
+            AgentDecision::LateDeregistration { incarnation } => {
+                log::warn!(event = "late_deregistration", life:% = incarnation; "it was that of an earlier life: this one goes on");
             }
-            AgentDecision::CapacityStale { life } => {
-                log::warn!(event = "worker_room_aged", life:% = life; "the worker has not been heard for long: nothing starts there until it is");
+            AgentDecision::CapacityStale { incarnation } => {
+                log::warn!(event = "worker_room_aged", life:% = incarnation; "the worker has not been heard for long: nothing starts there until it is");
             }
-            AgentDecision::LateHeartbeat { life, present } => {
-                log::warn!(event = "late_heartbeat", life:% = life, present:% = present; "a heartbeat of an ended life came; it is ignored");
+            AgentDecision::LateHeartbeat {
+                incarnation,
+                current,
+            } => {
+                log::warn!(event = "late_heartbeat", life:% = incarnation, present:% = current; "a heartbeat of an ended life came; it is ignored");
             }
             AgentDecision::SessionSilent { gateway, silence } => {
                 log::warn!(event = "session_silent", gateway:% = gateway, silence_ms = silence.as_millis(); "closed, to be dialed anew");
@@ -198,15 +201,23 @@
             } => {
                 log::warn!(event = "stop_unanswered", task:% = run.task, run = run.run.0, reason = *reason, age_ms = age.as_millis(), stops = *stops; "the worker does not answer its stop");
             }
-            AgentDecision::IncarnationEnded { life, end, runs } => {
+            AgentDecision::IncarnationEnded {
+                incarnation,
+                end,
+                runs,
+            } => {
                 let tasks = names_of(runs);
-                log::warn!(event = "worker_life_over", life:% = life, end = end.name(), runs = runs.len(), tasks = tasks.as_str(); "");
+                log::warn!(event = "worker_life_over", life:% = incarnation, end = end.name(), runs = runs.len(), tasks = tasks.as_str(); "");
             }
-            AgentDecision::CapacityChanged { life, before, now } => {
-                log::info!(event = "worker_capacity_changed", life:% = life, before_cpu_millis = before.cpu_millis, cpu_millis = now.cpu_millis, memory_mib = now.memory_mib, gpus = now.gpus; "");
+            AgentDecision::CapacityChanged {
+                incarnation,
+                before,
+                now,
+            } => {
+                log::info!(event = "worker_capacity_changed", life:% = incarnation, before_cpu_millis = before.cpu_millis, cpu_millis = now.cpu_millis, memory_mib = now.memory_mib, gpus = now.gpus; "");
             }
-            AgentDecision::Draining { life } => {
-                log::info!(event = "worker_draining", life:% = life; "");
+            AgentDecision::Draining { incarnation } => {
+                log::info!(event = "worker_draining", life:% = incarnation; "");
             }
             AgentDecision::Evacuated {
                 is_evacuated,
@@ -214,8 +225,8 @@
             } => {
                 log::info!(event = "worker_evacuated", is_evacuated = *is_evacuated, revision = *revision; "");
             }
-            AgentDecision::WorkerSilent { life } => {
-                log::warn!(event = "worker_silent", life:% = life; "");
+            AgentDecision::WorkerSilent { incarnation } => {
+                log::warn!(event = "worker_silent", life:% = incarnation; "");
             }
             AgentDecision::Stopping {
                 run,
--- a/laurelstiled/src/leased/recall.rs
+++ b/laurelstiled/src/leased/recall.rs
@@ -48,7 +48,7 @@
     };
     match serde_json::from_slice::<WorkerRecord>(&record.value) {
         Ok(WorkerRecord { registration, .. }) => {
-            log::info!(event = "worker_recalled", life:% = registration.life, version = record.version, draining = registration.draining; "worker known from the store");
+            log::info!(event = "worker_recalled", life:% = registration.incarnation, version = record.version, draining = registration.draining; "worker known from the store");
             let _ = input.send(AgentInput::Event(AgentEvent::RecordLoaded(registration)));
         }
         Err(error) => {
@@ -102,7 +102,7 @@
             }
             // Without a record that is not vital a later agent waits for a heartbeat.
             if writes >= most {
-                log::warn!(event = "worker_not_recorded", life:% = record.registration.life, writes = writes; "what a later agent should know of the worker was not written");
+                log::warn!(event = "worker_not_recorded", life:% = record.registration.incarnation, writes = writes; "what a later agent should know of the worker was not written");
                 break;
             }
             tokio::time::sleep(REPEAT_PAUSE).await;
--- a/laurelstiled/tests/recall.rs
+++ b/laurelstiled/tests/recall.rs
@@ -122,7 +122,7 @@
 
 fn known(started_at: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> IncarnationRecord {
     let registration = Registration {
-        life: life(started_at),
+        incarnation: life(started_at),
         service: "parcels".into(),
         capacity: Resources {
             cpu_millis,
@@ -169,7 +169,7 @@
     keeper.remember(known(1, 4_000, true, true));
     settled().await;
     let worker = recalled(&store).await.expect("the worker is recalled");
-    assert_eq!(worker.life, life(1));
+    assert_eq!(worker.incarnation, life(1));
     assert!(worker.draining);
 }
 
@@ -183,7 +183,7 @@
     keeper.remember(known(2, 4_000, false, false));
     settled().await;
     let worker = recalled(&store).await.expect("the worker is recalled");
-    assert_eq!(worker.life, life(2));
+    assert_eq!(worker.incarnation, life(2));
     assert!(!worker.draining);
 }
 
@@ -214,7 +214,7 @@
     settled().await;
     store.do_late_writes();
     let worker = recalled(&store).await.expect("the worker is recalled");
-    assert_eq!(worker.life, life(2));
+    assert_eq!(worker.incarnation, life(2));
     assert!(worker.draining);
 }
 
@@ -229,7 +229,7 @@
     keeper.remember(known(2, 4_000, true, true));
     settled().await;
     let worker = recalled(&store).await.expect("the worker is recalled");
-    assert_eq!(worker.life, life(2));
+    assert_eq!(worker.incarnation, life(2));
 }
 
 /// Two agents of a worker overlap for a moment while the first one stops.
@@ -242,7 +242,7 @@
     earlier.remember(known(1, 4_000, true, true));
     settled().await;
     let worker = recalled(&store).await.expect("the worker is recalled");
-    assert_eq!(worker.life, life(2));
+    assert_eq!(worker.incarnation, life(2));
 }
 
 #[tokio::test]
