--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -159,8 +159,8 @@
     pub(super) fn deregistration_wakeup(&self) -> Option<Timestamp> {
         let worker = self.worker.as_ref()?;
         let deregistration = worker.deregistration?;
-        let lapse = deregistration.expires_at(worker.renewed);
-        let lapse = deregistration.is_confirmed.then_some(lapse);
-        deregistration.answer_due().into_iter().chain(lapse).min()
+        let expiry = deregistration.expires_at(worker.renewed);
+        let expiry = deregistration.is_confirmed.then_some(expiry);
+        deregistration.answer_due().into_iter().chain(expiry).min()
     }
 }
--- a/laurelstile-core/src/leased/agent/heartbeats.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -149,19 +149,19 @@
         let Some(worker) = &mut self.worker else {
             return;
         };
-        let known = worker.successor.take();
-        let known =
-            known.filter(|known| known.registration.incarnation == registration.incarnation);
-        let was_draining = known
+        let previous = worker.successor.take();
+        let previous = previous
+            .filter(|previous| previous.registration.incarnation == registration.incarnation);
+        let was_draining = previous
             .as_ref()
-            .is_some_and(|known| known.registration.draining);
+            .is_some_and(|previous| previous.registration.draining);
         let draining = registration.draining || was_draining;
         worker.successor = Some(SuccessorCandidate {
             registration: Registration {
                 draining,
                 ..registration
             },
-            since: known.map_or(now, |known| known.since),
+            since: previous.map_or(now, |previous| previous.since),
         });
         worker.watch_from = now;
     }
@@ -205,7 +205,7 @@
 
     /// Starts the incarnation in the record of an earlier agent, without waiting for its next
     /// heartbeat. The clock reading in the record is old.
-    pub(super) fn on_record_loaded(
+    pub(super) fn on_record(
         &mut self,
         now: Timestamp,
         registration: Registration,
@@ -249,14 +249,12 @@
             return answered;
         }
         let successor = self.successor.as_ref()?;
-        let registered_start = successor.registration.incarnation.started_at;
+        let registered = successor.registration.incarnation.started_at;
         let has_restarted = match answered {
-            Some(_) => {
-                registered_start == answered && registered_start != self.incarnation.started_at
-            }
-            None => successor.since < queried_at && registered_start > self.incarnation.started_at,
+            Some(_) => registered == answered && registered != self.incarnation.started_at,
+            None => successor.since < queried_at && registered > self.incarnation.started_at,
         };
-        registered_start.filter(|_| has_restarted && self.has_possible_restart())
+        registered.filter(|_| has_restarted && self.has_possible_restart())
     }
 }
 
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -131,9 +131,7 @@
                 self.on_message(now, session, message, effects);
             }
             AgentEvent::Registered(registration) => self.on_registered(now, registration, effects),
-            AgentEvent::RecordLoaded(registration) => {
-                self.on_record_loaded(now, registration, effects)
-            }
+            AgentEvent::RecordLoaded(registration) => self.on_record(now, registration, effects),
             AgentEvent::Deregistration { id } => self.on_deregistration(now, &id, effects),
             AgentEvent::StartAnswered {
                 run,
@@ -261,7 +259,7 @@
         }
     }
 
-    fn order(&mut self, kind: CommandKind, effects: &mut Vec<AgentEffect>) {
+    fn send_command(&mut self, kind: CommandKind, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &self.worker else {
             return;
         };
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -162,7 +162,7 @@
             .filter(move |(_, step)| step.count > 0 && step.until > now)
     }
 
-    /// Reserves `room` for `tasks` tasks of a step until `until`.
+    /// Reserves `resources` for `tasks` tasks of a step until `until`.
     pub fn offer(&mut self, key: StepKey, resources: Resources, tasks: u32, until: Timestamp) {
         if let Some(step) = self.announced.get_mut(&key) {
             step.count = step.count.saturating_sub(tasks);
--- a/laurelstile-core/src/leased/agent/run_table.rs
+++ b/laurelstile-core/src/leased/agent/run_table.rs
@@ -35,7 +35,7 @@
     /// The worker is shutting down.
     WorkerLeaves,
     /// It was started for an earlier incarnation, with a lease on that incarnation's clock.
-    LifeChanged,
+    IncarnationChanged,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/laurelstile-core/src/leased/agent/sessions.rs
+++ b/laurelstile-core/src/leased/agent/sessions.rs
@@ -23,11 +23,11 @@
         let Some(gateway) = self.sessions.get(&session) else {
             return true;
         };
-        let owes_ends = self
+        let has_unacknowledged = self
             .owners
             .get(gateway)
             .is_some_and(Owner::has_unacknowledged);
-        !owes_ends && !self.owns_runs(*gateway)
+        !has_unacknowledged && !self.owns_runs(*gateway)
     }
 
     pub(super) fn on_opened(
@@ -59,8 +59,8 @@
         silence: Span,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let own = self.runs.iter().filter(|(_, run)| run.owner == gateway);
-        let runs = own.count();
+        let owned = self.runs.iter().filter(|(_, run)| run.owner == gateway);
+        let runs = owned.count();
         if runs > 0 {
             effects.push(AgentEffect::Decided(AgentDecision::SessionResumed {
                 gateway,
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -177,7 +177,7 @@
             run.sent = now;
             run.incarnation = incarnation;
         });
-        self.order(kind, effects);
+        self.send_command(kind, effects);
     }
 
     /// Returns waiting tasks whose time-out has passed, or that cannot start any more.
@@ -191,10 +191,10 @@
         } else {
             NotStartedReason::Unavailable
         };
-        let over = self.runs.tasks_where(|run| {
+        let returned = self.runs.tasks_where(|run| {
             run.state == RunState::Waiting && (!is_available || now >= run.wait_until)
         });
-        for task in over {
+        for task in returned {
             let how = EndKind::NotStarted(reason);
             self.end_run(now, task, how, EndProof::NotSent, effects);
         }
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -72,7 +72,7 @@
                     answered: None,
                 };
                 self.runs.set_state(task, state);
-                self.order(CommandKind::Stop { run: id }, effects);
+                self.send_command(CommandKind::Stop { run: id }, effects);
             }
             RunState::Stopping { .. } => {}
         }
@@ -120,7 +120,7 @@
                 self.update_clock(now, clock);
                 if rejection == Some(Rejection::Fenced) {
                     self.raise_token();
-                    self.order(CommandKind::Stop { run: id }, effects);
+                    self.send_command(CommandKind::Stop { run: id }, effects);
                     return;
                 }
                 let Some(RunState::Stopping { reason, since, .. }) =
@@ -179,7 +179,7 @@
             self.runs.update(task, |run| run.retry_stop_at = None);
             if let Some(run) = self.runs.get(task).map(|run| run.number) {
                 let run = RunId { task, run };
-                self.order(CommandKind::Stop { run }, effects);
+                self.send_command(CommandKind::Stop { run }, effects);
             }
         }
     }
@@ -195,7 +195,7 @@
             Self::Unanswered => "unanswered",
             Self::AgentStops => "agent_stops",
             Self::WorkerLeaves => "worker_leaves",
-            Self::LifeChanged => "life_changed",
+            Self::IncarnationChanged => "life_changed",
         }
     }
 }
--- a/laurelstile-core/src/leased/agent/timeouts.rs
+++ b/laurelstile-core/src/leased/agent/timeouts.rs
@@ -98,15 +98,15 @@
         } else {
             IDLE_SESSION_SILENCE
         };
-        let heard = owner.echo.max(owner.opened);
-        Some(heard.max(self.running_since).after(limit))
+        let last_activity = owner.echo.max(owner.opened);
+        Some(last_activity.max(self.running_since).after(limit))
     }
 
     /// When to check again for silent sessions.
     pub(super) fn silence_check_at(&self, now: Timestamp) -> Option<Timestamp> {
         let gateways = self.sessions.values();
         let due = gateways.filter_map(|gateway| self.session_silent_at(now, *gateway));
-        let look = self.last_flush.after(SILENCE_CHECK_INTERVAL);
-        due.min().map(|due| due.min(look))
+        let next_check = self.last_flush.after(SILENCE_CHECK_INTERVAL);
+        due.min().map(|due| due.min(next_check))
     }
 }
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -73,7 +73,7 @@
                 Span::default()
             },
         };
-        self.order(kind, effects);
+        self.send_command(kind, effects);
     }
 
     pub(super) fn on_watched(
@@ -233,7 +233,7 @@
         self.runs.confirm(id);
         if incarnation != self.incarnation_number {
             // Its lease was set on the clock of the previous incarnation and may last too long.
-            self.stop_run(now, id.task, StopReason::LifeChanged, effects);
+            self.stop_run(now, id.task, StopReason::IncarnationChanged, effects);
             return;
         }
         let clock = self.worker_clock(now);
@@ -258,7 +258,7 @@
             .is_none_or(|sent| now.since(*sent) >= ORPHAN_STOP_INTERVAL);
         if is_due {
             worker.orphans.insert(id, now);
-            self.order(CommandKind::Stop { run: id }, effects);
+            self.send_command(CommandKind::Stop { run: id }, effects);
         }
     }
 
@@ -272,13 +272,13 @@
         effects: &mut Vec<AgentEffect>,
     ) {
         let current = self.incarnation_number;
-        let over: Vec<(TaskId, EndKind)> = self
+        let ended: Vec<(TaskId, EndKind)> = self
             .runs
             .iter()
             .filter(|(task, run)| !running.contains(&run.id(*task)))
             .filter_map(|(task, run)| Some((task, end_if_unlisted(queried_at, run, current)?)))
             .collect();
-        for (task, how) in over {
+        for (task, how) in ended {
             self.end_run(now, task, how, EndProof::Unlisted, effects);
         }
     }
@@ -398,7 +398,7 @@
         StopReason::TooSlow { projected } => EndKind::TooSlow {
             projected_millis: u32::try_from(projected.as_millis()).unwrap_or(u32::MAX),
         },
-        StopReason::LifeChanged => EndKind::Lost,
+        StopReason::IncarnationChanged => EndKind::Lost,
         StopReason::Unanswered => EndKind::NotStarted(super::NotStartedReason::Refused),
     }
 }
--- a/laurelstile-core/src/leased/agent/worker_state.rs
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -87,7 +87,7 @@
     }
 
     /// The record that the next agent reads at start.
-    pub fn known(&self, now: Timestamp) -> IncarnationRecord {
+    pub fn record(&self, now: Timestamp) -> IncarnationRecord {
         let registration = Registration {
             incarnation: self.incarnation.clone(),
             service: self.service.clone(),
@@ -185,7 +185,7 @@
     /// Stores a record of the current incarnation for the next agent.
     pub(super) fn persist_record(&self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if let Some(worker) = &self.worker {
-            effects.push(AgentEffect::StoreRecord(worker.known(now)));
+            effects.push(AgentEffect::StoreRecord(worker.record(now)));
         }
     }
 
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -27,12 +27,12 @@
 fn orphaned_runs_are_stopped_before_anything_starts() {
     let mut rig = AgentRig::new();
     rig.register(at(0), "life-1", cpu(4_000), false);
-    let left = run(9, 0);
-    rig.answer_watch(at(1), lists(&[(left, 40)], &[]));
-    assert_eq!(rig.take_stops(), vec![left]);
+    let orphan = run(9, 0);
+    rig.answer_watch(at(1), lists(&[(orphan, 40)], &[]));
+    assert_eq!(rig.take_stops(), vec![orphan]);
     assert!(!rig.is_available());
-    rig.answer_stop(at(2), left, true);
-    rig.answer_watch(at(3), lists(&[], &[(1, left, WorkerEndKind::Stopped)]));
+    rig.answer_stop(at(2), orphan, true);
+    rig.answer_watch(at(3), lists(&[], &[(1, orphan, WorkerEndKind::Stopped)]));
     assert!(rig.is_available());
 }
 
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -37,10 +37,10 @@
 }
 
 /// Handles an event, then an answer to a watch from a worker that runs nothing.
-fn take(machine: &mut LeasedAgent, millis: u64, event: AgentEvent) {
+fn handle_event(agent: &mut LeasedAgent, millis: u64, event: AgentEvent) {
     let mut effects = Vec::new();
-    machine.handle(at(millis), event, &mut effects);
-    machine.flush(at(millis), &mut effects);
+    agent.handle(at(millis), event, &mut effects);
+    agent.flush(at(millis), &mut effects);
     let watched = AgentEvent::Watched {
         incarnation: "life-1".into(),
         answer: Ok(WatchAnswer {
@@ -49,26 +49,26 @@
             lists: Ok(RunLists::default()),
         }),
     };
-    machine.handle(at(millis), watched, &mut effects);
+    agent.handle(at(millis), watched, &mut effects);
 }
 
 /// An agent that was disconnected or suspended may have missed that the capacity shrank.
 #[test]
 fn outdated_capacity_is_not_used() {
-    let mut machine = with_frequent_heartbeats();
-    take(
-        &mut machine,
+    let mut agent = with_frequent_heartbeats();
+    handle_event(
+        &mut agent,
         0,
         AgentEvent::Registered(registration(0, 4_000)),
     );
-    assert!(machine.is_available(at(3_900)));
-    assert!(!machine.is_available(at(4_100)));
-    take(
-        &mut machine,
+    assert!(agent.is_available(at(3_900)));
+    assert!(!agent.is_available(at(4_100)));
+    handle_event(
+        &mut agent,
         6_000,
         AgentEvent::Registered(registration(6_000, 2_000)),
     );
-    assert!(machine.is_available(at(6_000)));
+    assert!(agent.is_available(at(6_000)));
 }
 
 /// A recorded capacity is valid only if an earlier agent was active a moment ago.
@@ -80,18 +80,18 @@
     #[case] silence: Option<u64>,
     #[case] is_available: bool,
 ) {
-    let mut machine = with_frequent_heartbeats();
+    let mut agent = with_frequent_heartbeats();
     let session = SESSION;
-    take(
-        &mut machine,
+    handle_event(
+        &mut agent,
         10,
         AgentEvent::Opened {
             session,
             gateway: GATEWAY,
         },
     );
-    take(
-        &mut machine,
+    handle_event(
+        &mut agent,
         20,
         AgentEvent::RecordLoaded(registration(0, 4_000)),
     );
@@ -104,15 +104,15 @@
             acknowledged: 0,
             body,
         };
-        take(&mut machine, 20, AgentEvent::Message { session, message });
+        handle_event(&mut agent, 20, AgentEvent::Message { session, message });
     }
-    assert_eq!(machine.is_available(at(20)), is_available);
-    take(
-        &mut machine,
+    assert_eq!(agent.is_available(at(20)), is_available);
+    handle_event(
+        &mut agent,
         900,
         AgentEvent::Registered(registration(900, 2_000)),
     );
-    assert!(machine.is_available(at(900)));
+    assert!(agent.is_available(at(900)));
 }
 
 /// An agent whose worker with four cores runs two tasks of one core each.
@@ -194,10 +194,10 @@
     for (millis, resources) in [(20, 3_000), (30, 2_000), (40, 3_500), (50, 2_500)] {
         rig.register(at(millis), "life-1", cpu(resources), false);
     }
-    let known: Vec<(u32, bool)> = rig
+    let records: Vec<(u32, bool)> = rig
         .remembered
         .iter()
-        .map(|known| (known.registration.capacity.cpu_millis, known.is_vital))
+        .map(|record| (record.registration.capacity.cpu_millis, record.is_vital))
         .collect();
-    assert_eq!(known, [(4_000, false), (3_000, true), (2_000, true)]);
+    assert_eq!(records, [(4_000, false), (3_000, true), (2_000, true)]);
 }
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -146,20 +146,20 @@
 #[test]
 fn a_run_started_by_the_next_incarnation_with_an_old_lease_is_stopped() {
     let mut rig = running();
-    let shown = lists(&[(run(1, 0), 10)], &[]);
+    let listed = lists(&[(run(1, 0), 10)], &[]);
     rig.heartbeat(at(30), heartbeat_of(SECOND_START, 1, 4_000, false));
-    answer_restarted(&mut rig, at(31), SECOND_START, shown);
+    answer_restarted(&mut rig, at(31), SECOND_START, listed);
     assert_eq!(
         rig.ends(),
         [(task(1, 1), EndKind::Lost)],
         "the unlisted run is lost"
     );
     assert_eq!(rig.take_stops(), [run(1, 0)]);
-    let over = rig.decisions.iter().find_map(|decision| match decision {
+    let ended = rig.decisions.iter().find_map(|decision| match decision {
         AgentDecision::IncarnationEnded { end, runs, .. } => Some((*end, runs.len())),
         _ => None,
     });
-    assert_eq!(over, Some((IncarnationEnd::Restarted, 1)));
+    assert_eq!(ended, Some((IncarnationEnd::Restarted, 1)));
 }
 
 /// A start that the previous incarnation rejected was not carried out.
--- a/laurelstile-core/tests/leased_late_words.rs
+++ b/laurelstile-core/tests/leased_late_words.rs
@@ -46,14 +46,14 @@
     HeartbeatIgnoreReason::OtherService
 )]
 fn a_heartbeat_of_another_sender_or_an_ended_incarnation_is_ignored(
-    #[case] heartbeat_of: Registration,
+    #[case] heartbeat: Registration,
     #[case] reason: HeartbeatIgnoreReason,
 ) {
     let mut rig = restarted();
-    rig.heartbeat(at(600), heartbeat_of);
+    rig.heartbeat(at(600), heartbeat);
     assert!(rig.is_available());
-    let told = rig.reported_free_cpu(SESSION);
-    assert_eq!(told, Some(4_000));
+    let reported = rig.reported_free_cpu(SESSION);
+    assert_eq!(reported, Some(4_000));
     let ignored = rig.decisions.iter().find_map(|decision| match decision {
         AgentDecision::HeartbeatIgnored { reason, .. } => Some(*reason),
         _ => None,
@@ -77,9 +77,9 @@
     rig.incarnation = incarnation(FIRST_START);
     rig.heartbeat(at(0), heartbeat_of(FIRST_START, 9_000, 4_000, false));
     for millis in (100..5_000).step_by(100) {
-        let heartbeat_of = heartbeat_of(FIRST_START, 9_000 + millis, 4_000, false);
+        let heartbeat = heartbeat_of(FIRST_START, 9_000 + millis, 4_000, false);
         let service = if known_at.contains(&millis) {
-            heartbeat_of.service.clone()
+            heartbeat.service.clone()
         } else {
             "meadows".into()
         };
@@ -87,7 +87,7 @@
             at(millis),
             Registration {
                 service,
-                ..heartbeat_of
+                ..heartbeat
             },
         );
         rig.answer_watch(at(millis), RunLists::default());
@@ -143,7 +143,7 @@
     );
     rig.tick(at(41));
     rig.answer_watch_of(at(42), None, Ok(RunLists::default()));
-    let over = |decision: &&AgentDecision| {
+    let is_restart = |decision: &&AgentDecision| {
         matches!(
             decision,
             AgentDecision::IncarnationEnded {
@@ -152,7 +152,7 @@
             }
         )
     };
-    let ends = rig.decisions.iter().filter(over).count();
+    let ends = rig.decisions.iter().filter(is_restart).count();
     assert_eq!(ends, usize::from(lost > 0));
 }
 
@@ -207,14 +207,14 @@
 #[test]
 fn a_run_missing_from_a_list_with_unreadable_entries_is_not_lost() {
     let mut rig = running();
-    let mut shown = lists(&[(run(1, 0), 10)], &[]);
-    shown.unreadable = 1;
+    let mut listed = lists(&[(run(1, 0), 10)], &[]);
+    listed.unreadable = 1;
     for millis in [30, 40] {
-        rig.answer_watch(at(millis), shown.clone());
+        rig.answer_watch(at(millis), listed.clone());
     }
     assert!(rig.ends().is_empty());
-    shown.unreadable = 0;
-    rig.answer_watch(at(50), shown);
+    listed.unreadable = 0;
+    rig.answer_watch(at(50), listed);
     assert_eq!(rig.ends(), [(task(1, 1), EndKind::Lost)]);
 }
 
@@ -225,11 +225,11 @@
     rig.incarnation = "worker-1".into();
     rig.register(at(0), "worker-1", cpu(1_000), true);
     rig.heartbeat(at(1), heartbeat_of(FIRST_START, 9_000, 4_000, false));
-    for asked in [
+    for queried in [
         WorkerIncarnation::from("worker-1"),
         incarnation(FIRST_START),
     ] {
-        rig.incarnation = asked;
+        rig.incarnation = queried;
         rig.answer_watch_of(at(2), Some(StartTime(FIRST_START)), Ok(RunLists::default()));
     }
     assert!(rig.is_available());
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -79,12 +79,12 @@
     rig.orders.clear();
     rig.tick(at(1_201));
     rig.tick(at(1_300));
-    let lives: Vec<&str> = rig
+    let ids: Vec<&str> = rig
         .orders
         .iter()
         .map(|order| &*order.incarnation.id)
         .collect();
-    assert!(lives.iter().all(|life| *life == "life-2"), "{lives:?}");
+    assert!(ids.iter().all(|id| *id == "life-2"), "{ids:?}");
 }
 
 /// A record is stored once for each incarnation that starts, and for no other.
@@ -96,8 +96,8 @@
         heartbeats: RARE_HEARTBEATS,
         token_floor: TOKEN_FLOOR,
     };
-    let mut machine = LeasedAgent::new(options);
-    let mut remembered = Vec::new();
+    let mut agent = LeasedAgent::new(options);
+    let mut recorded = Vec::new();
     for (millis, incarnation) in [(0, "life-1"), (10, "life-0"), (20, "life-1")] {
         let registration = Registration {
             incarnation: incarnation.into(),
@@ -109,15 +109,15 @@
             sequence: millis,
         };
         let mut effects = Vec::new();
-        machine.handle(
+        agent.handle(
             at(millis),
             AgentEvent::Registered(registration),
             &mut effects,
         );
-        remembered.extend(effects.into_iter().filter_map(|effect| match effect {
+        recorded.extend(effects.into_iter().filter_map(|effect| match effect {
             AgentEffect::StoreRecord(known) => Some(known.registration.incarnation),
             _ => None,
         }));
     }
-    assert_eq!(remembered, ["life-1".into()]);
+    assert_eq!(recorded, ["life-1".into()]);
 }
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -27,24 +27,27 @@
     #[case] first: Option<u64>,
     #[case] second: Option<u64>,
 ) {
-    let named = |started_at: Option<u64>| WorkerIncarnation {
+    let incarnation_at = |started_at: Option<u64>| WorkerIncarnation {
         id: "worker-1".into(),
         started_at: started_at.map(StartTime),
     };
     let mut rig = AgentRig::new();
-    rig.incarnation = named(first);
-    rig.heartbeat(at(0), registration(at(0), named(first), cpu(4_000), false));
+    rig.incarnation = incarnation_at(first);
+    rig.heartbeat(
+        at(0),
+        registration(at(0), incarnation_at(first), cpu(4_000), false),
+    );
     rig.answer_watch(at(1), RunLists::default());
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     rig.refuse_watch(at(20));
-    rig.incarnation = named(second);
-    let back = registration(at(500), named(second), cpu(4_000), false);
-    rig.heartbeat(at(500), back);
+    rig.incarnation = incarnation_at(second);
+    let second_heartbeat = registration(at(500), incarnation_at(second), cpu(4_000), false);
+    rig.heartbeat(at(500), second_heartbeat);
     rig.answer_watch(at(501), RunLists::default());
     rig.take_starts();
-    let leaves = registration(at(1_000), named(second), cpu(4_000), true);
-    rig.heartbeat(at(1_000), leaves);
+    let draining_heartbeat = registration(at(1_000), incarnation_at(second), cpu(4_000), true);
+    rig.heartbeat(at(1_000), draining_heartbeat);
     let batch = rig.batch(2, 1, 50);
     rig.message(at(3_200), batch);
     assert!(
@@ -145,13 +148,13 @@
 fn leases_of_the_next_incarnation_use_its_own_clock() {
     let mut rig = running();
     rig.heartbeat(at(30), heartbeat_of(SECOND_START, 1, 4_000, false));
-    for (asked, clock) in [(FIRST_START, 2), (SECOND_START, 3)] {
+    for (queried, clock) in [(FIRST_START, 2), (SECOND_START, 3)] {
         let answer = Ok(WatchAnswer {
             clock: Some(WorkerClock(clock)),
             started_at: Some(StartTime(SECOND_START)),
             lists: Ok(RunLists::default()),
         });
-        let incarnation = incarnation(asked);
+        let incarnation = incarnation(queried);
         rig.event(
             at(29 + clock),
             AgentEvent::Watched {
@@ -216,7 +219,7 @@
             FromAgentBody::Crashes(crashes) => Some(crashes),
             _ => None,
         });
-    let lives: Vec<&str> = crashes
+    let crashed: Vec<&str> = crashes
         .flatten()
         .map(|crash| crash.incarnation.as_str())
         .collect();
@@ -224,7 +227,7 @@
         incarnation(FIRST_START).to_string(),
         incarnation(SECOND_START).to_string(),
     ];
-    assert_eq!(lives, names);
+    assert_eq!(crashed, names);
 }
 
 /// A new agent reads a record of the previous incarnation, and the worker reports that it has
