--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -1,4 +1,4 @@
-//! What gateways know of each other: sessions to a few, news to all.
+//! Membership of gateways: directories converge over few sessions, and updates reach all gateways.
 
 mod leased_support;
 
@@ -17,8 +17,8 @@
 use rstest::rstest;
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// How long a fleet has to agree in a test without delays.
-const SOON: u64 = 6_000;
+/// Time within which the directories of a fleet without delays converge, in milliseconds.
+const CONVERGENCE_MILLIS: u64 = 6_000;
 
 fn member(number: usize) -> Member {
     Member {
@@ -28,23 +28,23 @@
     }
 }
 
-/// Gateways with sessions that carry everything at once, but between those that are apart.
+/// Gateways whose sessions deliver messages at once, unless they are partitioned.
 struct Fleet {
     gateways: Vec<LeasedGateway>,
-    /// Ends of each session: who dialed it, and whom.
+    /// Dialer and listener of each open session.
     sessions: Vec<Option<(usize, usize)>>,
-    /// Gateways that cannot reach the others.
-    apart: Vec<usize>,
-    /// What each is to dial.
+    /// Gateways that are partitioned from the others.
+    partitioned: Vec<usize>,
+    /// The gateways that each gateway dials.
     wanted: Vec<Vec<Member>>,
-    /// Messages under way, with their receivers.
-    under_way: VecDeque<(usize, SessionId, ToPeer)>,
-    /// Messages that were carried.
-    carried: Vec<(usize, usize, ToPeer)>,
+    /// Undelivered messages, with their receivers.
+    undelivered: VecDeque<(usize, SessionId, ToPeer)>,
+    /// Delivered messages, with sender and receiver.
+    delivered: Vec<(usize, usize, ToPeer)>,
 }
 
 impl Fleet {
-    /// So many gateways, of which each knows the next.
+    /// A fleet in which each gateway has a session to the one before it.
     fn new(count: usize) -> Self {
         let gateways = (0..count).map(|number| {
             LeasedGateway::new(Identity {
@@ -55,10 +55,10 @@
         let mut fleet = Self {
             gateways: gateways.collect(),
             sessions: Vec::new(),
-            apart: Vec::new(),
+            partitioned: Vec::new(),
             wanted: vec![Vec::new(); count],
-            under_way: VecDeque::new(),
-            carried: Vec::new(),
+            undelivered: VecDeque::new(),
+            delivered: Vec::new(),
         };
         for number in 1..count {
             fleet.open(at(1), number, number - 1);
@@ -66,13 +66,13 @@
         fleet
     }
 
-    fn may_meet(&self, one: usize, other: usize) -> bool {
-        self.apart.contains(&one) == self.apart.contains(&other)
+    fn are_connected(&self, one: usize, other: usize) -> bool {
+        self.partitioned.contains(&one) == self.partitioned.contains(&other)
     }
 
     fn open(&mut self, now: Timestamp, dialer: usize, dialed: usize) {
         let is_open = self.sessions.contains(&Some((dialer, dialed)));
-        if is_open || dialer == dialed || !self.may_meet(dialer, dialed) {
+        if is_open || dialer == dialed || !self.are_connected(dialer, dialed) {
             return;
         }
         let session = SessionId(self.sessions.len() as u64);
@@ -97,7 +97,7 @@
     }
 
     fn deliver(&mut self, now: Timestamp) {
-        while let Some((to, session, message)) = self.under_way.pop_front() {
+        while let Some((to, session, message)) = self.undelivered.pop_front() {
             self.handle(now, to, GatewayEvent::PeerMessage { session, message });
         }
     }
@@ -114,8 +114,8 @@
                         continue;
                     };
                     let to = if one == gateway { other } else { one };
-                    self.carried.push((gateway, to, message.clone()));
-                    self.under_way.push_back((to, session, message));
+                    self.delivered.push((gateway, to, message.clone()));
+                    self.undelivered.push_back((to, session, message));
                 }
                 GatewayEffect::Dial { members, .. } => self.wanted[gateway] = members,
                 GatewayEffect::Close(session) => self.close(now, session),
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Lets time pass: gateways look at it, and dial whom they want.
-    fn pass(&mut self, from: u64, to: u64) {
+    /// Handles a tick of each gateway every 50 ms, and dials the gateways that it wants.
+    fn run(&mut self, from: u64, to: u64) {
         for millis in (from..to).step_by(50) {
             for gateway in 0..self.gateways.len() {
                 self.event(at(millis), gateway, GatewayEvent::Tick);
@@ -137,10 +137,10 @@
         }
     }
 
-    fn set_apart(&mut self, now: Timestamp, apart: Vec<usize>) {
-        self.apart = apart;
+    fn partition(&mut self, now: Timestamp, partitioned: Vec<usize>) {
+        self.partitioned = partitioned;
         for index in 0..self.sessions.len() {
-            if self.sessions[index].is_some_and(|(one, other)| !self.may_meet(one, other)) {
+            if self.sessions[index].is_some_and(|(one, other)| !self.are_connected(one, other)) {
                 self.close(now, SessionId(index as u64));
             }
         }
@@ -155,20 +155,20 @@
         (0..self.gateways.len()).map(count).max().expect("some")
     }
 
-    fn known_to(&self, gateway: usize) -> usize {
+    fn known_count(&self, gateway: usize) -> usize {
         self.gateways[gateway].known_members().count()
     }
 
-    /// Gateways that were told that a job is cancelled, but the one that tells it first.
+    /// Number of gateways, except `first`, that received the cancellation of a job.
     fn count_cancelled(&self, first: usize, job: JobId) -> usize {
-        let told = self.carried.iter().filter(
+        let told = self.delivered.iter().filter(
             |(_, _, message)| matches!(message, ToPeer::Cancelled(jobs) if jobs.contains(&job)),
         );
-        let hearers = told.map(|(_, to, _)| *to).filter(|to| *to != first);
-        let mut hearers: Vec<usize> = hearers.collect();
-        hearers.sort_unstable();
-        hearers.dedup();
-        hearers.len()
+        let receivers = told.map(|(_, to, _)| *to).filter(|to| *to != first);
+        let mut receivers: Vec<usize> = receivers.collect();
+        receivers.sort_unstable();
+        receivers.dedup();
+        receivers.len()
     }
 
     fn cancel(&mut self, now: Timestamp, gateway: usize, job: JobId) {
@@ -180,70 +180,74 @@
 #[rstest]
 #[case::forty(40)]
 #[case::eighty(80)]
-fn each_learns_of_all_over_few_sessions(#[case] count: usize) {
+fn every_gateway_learns_of_all_over_few_sessions(#[case] count: usize) {
     let mut fleet = Fleet::new(count);
-    fleet.pass(10, SOON);
+    fleet.run(10, CONVERGENCE_MILLIS);
     for gateway in 0..count {
-        assert_eq!(fleet.known_to(gateway), count, "gateway {gateway}");
+        assert_eq!(fleet.known_count(gateway), count, "gateway {gateway}");
     }
     assert!(fleet.most_sessions() <= 24, "{}", fleet.most_sessions());
 }
 
-/// The last of them can be reached over a single session.
+/// The only path to the last gateway leads over single sessions.
 #[test]
-fn a_cancel_reaches_all_over_the_only_path_that_is_left() {
+fn a_cancellation_reaches_all_over_a_single_path() {
     let mut fleet = Fleet::new(12);
-    // Nobody dials: the gateways stand in a row.
-    fleet.carried.clear();
+    // The gateways form a chain, since ticks do not run and none dials.
+    fleet.delivered.clear();
     fleet.cancel(at(5), 0, JobId(7));
     assert_eq!(fleet.count_cancelled(0, JobId(7)), 11);
 }
 
 #[test]
-fn a_cancel_is_told_once_over_each_session_and_ends() {
+fn a_cancellation_is_sent_once_per_session_and_direction() {
     let mut fleet = Fleet::new(40);
-    fleet.pass(10, SOON);
-    fleet.carried.clear();
-    fleet.cancel(at(SOON), 3, JobId(7));
+    fleet.run(10, CONVERGENCE_MILLIS);
+    fleet.delivered.clear();
+    fleet.cancel(at(CONVERGENCE_MILLIS), 3, JobId(7));
     assert_eq!(fleet.count_cancelled(3, JobId(7)), 39);
     let sessions = fleet.sessions.iter().flatten().count();
     assert!(
-        fleet.carried.len() <= 2 * sessions,
+        fleet.delivered.len() <= 2 * sessions,
         "{} messages",
-        fleet.carried.len()
+        fleet.delivered.len()
     );
 }
 
 #[test]
-fn a_third_that_was_apart_is_joined_again_and_hears_what_it_missed() {
+fn a_partitioned_third_rejoins_and_receives_what_it_missed() {
     let mut fleet = Fleet::new(30);
-    fleet.pass(10, SOON);
-    fleet.set_apart(at(SOON), (0..10).collect());
-    fleet.pass(SOON, SOON + 3_000);
-    fleet.cancel(at(SOON + 3_000), 20, JobId(7));
-    fleet.pass(SOON + 3_000, SOON + 4_000);
-    assert_eq!(fleet.count_cancelled(20, JobId(7)), 19, "those on its side");
-    fleet.set_apart(at(SOON + 4_000), Vec::new());
-    fleet.pass(SOON + 4_000, SOON + 9_000);
+    fleet.run(10, CONVERGENCE_MILLIS);
+    fleet.partition(at(CONVERGENCE_MILLIS), (0..10).collect());
+    fleet.run(CONVERGENCE_MILLIS, CONVERGENCE_MILLIS + 3_000);
+    fleet.cancel(at(CONVERGENCE_MILLIS + 3_000), 20, JobId(7));
+    fleet.run(CONVERGENCE_MILLIS + 3_000, CONVERGENCE_MILLIS + 4_000);
+    assert_eq!(
+        fleet.count_cancelled(20, JobId(7)),
+        19,
+        "those in its partition"
+    );
+    fleet.partition(at(CONVERGENCE_MILLIS + 4_000), Vec::new());
+    fleet.run(CONVERGENCE_MILLIS + 4_000, CONVERGENCE_MILLIS + 9_000);
     assert_eq!(fleet.count_cancelled(20, JobId(7)), 29);
     for gateway in 0..30 {
-        assert_eq!(fleet.known_to(gateway), 30, "gateway {gateway}");
+        assert_eq!(fleet.known_count(gateway), 30, "gateway {gateway}");
     }
 }
 
 #[test]
-fn neighbors_that_agree_send_nothing() {
+fn converged_neighbors_send_nothing() {
     let mut fleet = Fleet::new(30);
-    fleet.pass(10, SOON);
-    fleet.carried.clear();
-    fleet.pass(SOON, SOON + 20_000);
-    assert!(fleet.carried.is_empty(), "{:?}", fleet.carried.first());
+    fleet.run(10, CONVERGENCE_MILLIS);
+    fleet.delivered.clear();
+    fleet.run(CONVERGENCE_MILLIS, CONVERGENCE_MILLIS + 20_000);
+    assert!(fleet.delivered.is_empty(), "{:?}", fleet.delivered.first());
 }
 
-/// Neither can correct the other, since one of them cannot read the list: they would ask for
-/// ever.
+/// One of two gateways cannot read the list in the store, so their directories keep differing; they
+/// must not request members without end.
 #[test]
-fn a_directory_that_keeps_differing_is_asked_for_once() {
+fn a_directory_that_keeps_differing_is_requested_once() {
     let mut rig = GatewayRig::new();
     let session = SessionId(50);
     rig.open_peer(at(1), session);
@@ -261,7 +265,7 @@
 }
 
 #[test]
-fn a_gateway_of_an_earlier_build_is_told_the_list_and_nothing_that_it_cannot_read() {
+fn an_older_version_is_sent_the_members_and_nothing_that_it_cannot_decode() {
     let mut rig = GatewayRig::new();
     let session = SessionId(50);
     rig.open_peer(at(1), session);
@@ -282,9 +286,9 @@
     assert_eq!(told.count(), 1);
 }
 
-/// An earlier build reads an introduction as a member.
+/// An older version decodes an introduction as a member.
 #[test]
-fn an_introduction_is_read_by_earlier_builds() {
+fn introductions_are_compatible_with_older_versions() {
     let introduction = Introduction::new(&member(1), Digest::default());
     let mut bytes = Vec::new();
     ciborium::into_writer(&introduction, &mut bytes).expect("it is written");
@@ -304,7 +308,7 @@
     }
 }
 
-fn known(directory: &Directory) -> Vec<String> {
+fn known_ports(directory: &Directory) -> Vec<String> {
     let members = directory.members();
     members
         .map(|member| member.address.port().to_string())
@@ -312,23 +316,23 @@
 }
 
 #[test]
-fn a_member_of_which_only_peers_told_expires_with_the_list() {
+fn a_member_claimed_by_peers_expires_unless_the_list_confirms_it() {
     let mut directory = Directory::new(member(0));
     directory.add_claimed(at(0), vec![member(1), member(2)]);
     directory.read_page(at(8_000), page(vec![member(1)]));
     assert_eq!(
-        known(&directory),
+        known_ports(&directory),
         ["1", "2", "3"],
-        "its record may be to come"
+        "its record may not be listed yet"
     );
     directory.read_page(at(17_000), page(vec![member(1)]));
-    assert_eq!(known(&directory), ["1", "2"]);
+    assert_eq!(known_ports(&directory), ["1", "2"]);
     directory.read_page(at(25_000), page(Vec::new()));
-    assert_eq!(known(&directory), ["1"], "itself");
+    assert_eq!(known_ports(&directory), ["1"], "the gateway itself remains");
 }
 
 #[test]
-fn a_page_says_nothing_of_members_beyond_it() {
+fn a_page_removes_no_members_outside_its_range() {
     let mut directory = Directory::new(member(0));
     directory.read_page(at(0), page((1..9).map(member).collect()));
     let keys = (1..9).map(|number| record_key(&member(number).name));
@@ -340,11 +344,15 @@
         members: Vec::new(),
     };
     directory.read_page(at(20_000), part);
-    assert_eq!(known(&directory).len(), 1 + 4, "four keys were covered");
+    assert_eq!(
+        known_ports(&directory).len(),
+        1 + 4,
+        "four keys were covered"
+    );
 }
 
 #[test]
-fn a_name_at_two_addresses_is_where_a_session_says() {
+fn a_session_decides_between_two_addresses_of_a_name() {
     let moved = Member {
         address: ([127, 0, 0, 1], 900).into(),
         ..member(1)
@@ -352,16 +360,20 @@
     let mut directory = Directory::new(member(0));
     directory.add_claimed(at(0), vec![member(1)]);
     directory.add_claimed(at(1), vec![moved.clone()]);
-    assert_eq!(known(&directory), ["1", "2", "900"]);
+    assert_eq!(known_ports(&directory), ["1", "2", "900"]);
     directory.on_session_opened(SessionId(1), &moved);
-    assert_eq!(known(&directory), ["1", "900"]);
+    assert_eq!(known_ports(&directory), ["1", "900"]);
     directory.add_claimed(at(2), vec![member(1)]);
-    assert_eq!(known(&directory), ["1", "900"], "late news");
+    assert_eq!(
+        known_ports(&directory),
+        ["1", "900"],
+        "an outdated claim is ignored"
+    );
 }
 
-/// Its record of before its start, which the list still has, is not told on.
+/// The list may still have the gateway's record from before its start.
 #[test]
-fn a_gateway_is_where_it_knows_that_it_is() {
+fn claims_about_the_own_name_are_ignored() {
     let before = Member {
         address: ([127, 0, 0, 1], 900).into(),
         ..member(0)
@@ -369,11 +381,11 @@
     let mut directory = Directory::new(member(0));
     directory.read_page(at(0), page(vec![before.clone(), member(1)]));
     directory.add_claimed(at(1), vec![before]);
-    assert_eq!(known(&directory), ["1", "2"]);
+    assert_eq!(known_ports(&directory), ["1", "2"]);
 }
 
 #[test]
-fn members_heard_twice_or_in_another_order_make_the_same_directory() {
+fn the_digest_does_not_depend_on_order_or_repetition() {
     let mut one = Directory::new(member(0));
     one.add_claimed(at(0), (1..20).map(member).collect());
     let mut other = Directory::new(member(0));
@@ -387,16 +399,16 @@
     assert!(missing.contains(&member(30)) && missing.len() < 10);
 }
 
-/// An agent that knows them already costs a message without any of them.
+/// An agent that already knows its candidates is sent none again.
 #[test]
-fn an_agent_is_told_only_what_it_does_not_know() {
+fn an_agent_is_sent_only_what_it_does_not_know() {
     let mut rig = GatewayRig::new();
     let session = SessionId(50);
     rig.open_peer(at(1), session);
     let message = ToPeer::Members((1..40).map(member).collect());
     rig.peer_message(at(2), session, message);
     rig.join(at(10), 1, "agent-1", cpu(1_000));
-    let told = rig.members.pop().expect("it is told").1;
+    let told = rig.members.pop().expect("no members were sent").1;
     assert!(told.len() <= 30, "{}", told.len());
 
     let mut subset =
@@ -404,10 +416,10 @@
     subset.add_members(told);
     let first = subset.first_message(at(20));
     let Some(CandidateSummary { zone, .. }) = &first.candidates else {
-        panic!("it says what it seeks");
+        panic!("the first message has no summary");
     };
     assert_eq!(zone, "here");
-    let mut rig_of_two = rig;
+    let mut rig_after = rig;
     let opened = GatewayEvent::AgentOpened {
         session: SessionId(2),
         remote: laurelstile_core::session::Remote {
@@ -416,34 +428,34 @@
             uptime: Span::default(),
         },
     };
-    rig_of_two.event(at(20), opened);
+    rig_after.event(at(20), opened);
     let message = GatewayEvent::AgentMessage {
         session: SessionId(2),
         message: first,
     };
-    rig_of_two.event(at(20), message);
-    rig_of_two.pass_time(30, 1_000);
-    assert!(rig_of_two.members.is_empty());
+    rig_after.event(at(20), message);
+    rig_after.pass_time(30, 1_000);
+    assert!(rig_after.members.is_empty());
 }
 
-/// Memory that has overrun cannot tell news from what went round.
+/// Once the log of cancellations overflows, repeated and new cancellations cannot be distinguished.
 #[test]
-fn cancels_are_not_passed_on_while_there_are_more_than_can_be_remembered() {
+fn cancellations_are_not_forwarded_while_the_log_overflows() {
     let mut fleet = Fleet::new(3);
     for job in 0..5_000 {
         fleet.cancel(at(10), 0, JobId(job));
     }
-    fleet.carried.clear();
+    fleet.delivered.clear();
     fleet.cancel(at(11), 0, JobId(9_999));
     assert_eq!(
         fleet.count_cancelled(0, JobId(9_999)),
         1,
-        "its neighbor alone"
+        "only to its neighbor"
     );
 }
 
 #[test]
-fn crashes_that_are_news_are_passed_on_but_not_back() {
+fn new_crashes_are_forwarded_but_not_back_to_the_sender() {
     let mut rig = GatewayRig::new();
     for number in [50, 51, 52] {
         let session = SessionId(number);
--- a/laurelstile-core/tests/leased_messages.rs
+++ b/laurelstile-core/tests/leased_messages.rs
@@ -1,6 +1,5 @@
-//! What messages between gateways and agents of leased workers weigh, and that nothing
-//! is lost on the way. The bounds are what a link bears: every byte is sent some ten
-//! thousand times a second in a large deployment.
+//! Encoded sizes of messages between gateways and agents of leased workers, and that they decode to
+//! what was encoded. In a large deployment each byte is sent about ten thousand times a second.
 
 use ciborium::value::Value;
 use laurelstile_core::leased::input::{InputError, JobInput, MAX_INPUT_BYTES};
@@ -16,7 +15,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A clock of a process that has run for ten minutes, in microseconds.
+/// Clock reading of a process that has run for ten minutes.
 const CLOCK: Timestamp = Timestamp(600_000_000);
 
 fn encode<T: Serialize>(message: &T) -> Vec<u8> {
@@ -70,7 +69,7 @@
     }
 }
 
-/// Digits of pseudo-random bytes: four bits of chance in each character.
+/// Pseudo-random hexadecimal digits, with four bits of entropy per character.
 fn digits(length: usize) -> String {
     let mut state = 0x9e37_79b9_7f4a_7c15_u64;
     (0..length)
@@ -104,7 +103,7 @@
 }
 
 #[test]
-fn heartbeats_hold_little_more_than_clocks() {
+fn heartbeats_are_small() {
     let to_agent = ToAgent {
         echo: CLOCK,
         acknowledged: 300,
@@ -116,23 +115,23 @@
 }
 
 #[test]
-fn a_usual_report_leaves_out_what_is_usual() {
+fn a_report_omits_usual_values() {
     let usual = from_agent(Some(report(NO_TASK_LIMIT, 100)), FromAgentBody::Heartbeat);
     assert!(encode(&usual).len() <= 32, "{}", encode(&usual).len());
 }
 
 #[test]
-fn an_end_names_its_task_shortly() {
+fn an_end_is_small() {
     let message = from_agent(None, FromAgentBody::Ends(vec![end()]));
     assert!(encode(&message).len() <= 48, "{}", encode(&message).len());
 }
 
 #[test]
-fn a_start_packs_its_input() {
+fn a_start_compresses_its_input() {
     let plain = encode(&start(JobInput::from("")));
-    let packed = encode(&start(JobInput::from(digits(1_200))));
+    let with_input = encode(&start(JobInput::from(digits(1_200))));
     assert!(plain.len() <= 80, "{}", plain.len());
-    assert!(packed.len() <= 80 + 650, "{}", packed.len());
+    assert!(with_input.len() <= 80 + 650, "{}", with_input.len());
 }
 
 #[rstest]
@@ -140,22 +139,22 @@
 #[case::slow(NO_TASK_LIMIT, 240)]
 #[case::one_at_a_time(1, 100)]
 #[case::none(0, 100)]
-fn a_report_comes_as_it_was_sent(#[case] limit: u32, #[case] run_time_percent: u32) {
+fn a_report_round_trips(#[case] limit: u32, #[case] run_time_percent: u32) {
     let sent = report(limit, run_time_percent);
     let message = from_agent(Some(sent), FromAgentBody::Heartbeat);
-    let came: FromAgent = decode(&encode(&message));
-    assert_eq!(came.report, Some(sent));
+    let decoded: FromAgent = decode(&encode(&message));
+    assert_eq!(decoded.report, Some(sent));
 }
 
 #[rstest]
 #[case::once(0)]
 #[case::again(3)]
-fn an_end_comes_as_it_was_sent(#[case] repetition: u32) {
+fn an_end_round_trips(#[case] repetition: u32) {
     let mut sent = end();
     sent.task.repetition = repetition;
     let message = from_agent(None, FromAgentBody::Ends(vec![sent.clone()]));
-    let came: FromAgent = decode(&encode(&message));
-    assert!(matches!(came.body, FromAgentBody::Ends(ends) if ends == [sent]));
+    let decoded: FromAgent = decode(&encode(&message));
+    assert!(matches!(decoded.body, FromAgentBody::Ends(ends) if ends == [sent]));
 }
 
 fn input_of(message: &ToAgent) -> JobInput {
@@ -172,45 +171,45 @@
 #[case::words("between the oak and the mill, ".repeat(2_000))]
 #[case::longest("x".repeat(MAX_INPUT_BYTES))]
 #[case::not_latin("çé—日本".repeat(300))]
-fn an_input_comes_as_it_was_sent(#[case] text: String) {
-    let came: ToAgent = decode(&encode(&start(JobInput::from(text.as_str()))));
-    assert_eq!(input_of(&came).as_str(), text);
+fn an_input_round_trips(#[case] text: String) {
+    let decoded: ToAgent = decode(&encode(&start(JobInput::from(text.as_str()))));
+    assert_eq!(input_of(&decoded).as_str(), text);
 }
 
 proptest! {
     #[test]
-    fn every_text_survives_packing(text in any::<String>(), times in 1_usize..200) {
+    fn every_text_round_trips(text in any::<String>(), times in 1_usize..200) {
         let text = text.repeat(times);
-        let came: ToAgent = decode(&encode(&start(JobInput::from(text.as_str()))));
-        assert_eq!(input_of(&came).as_str(), text);
+        let decoded: ToAgent = decode(&encode(&start(JobInput::from(text.as_str()))));
+        assert_eq!(input_of(&decoded).as_str(), text);
     }
 
     #[test]
-    fn no_bytes_are_unpacked_in_vain(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        // Either a text or a typed error, and always an end.
+    fn decompression_of_arbitrary_bytes_returns(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        // Must return, with text or an error.
         let _ = JobInput::decompress(&bytes);
     }
 
     #[test]
-    fn what_is_cut_is_no_input(cut in (1_usize..500).prop_map(|cut| cut)) {
-        let packed = packed(&digits(1_200));
-        let rest = packed.len().saturating_sub(cut);
-        assert_eq!(JobInput::decompress(&packed[..rest]), Err(InputError::Corrupt));
+    fn truncated_input_is_rejected(cut in (1_usize..500).prop_map(|cut| cut)) {
+        let bytes = compressed(&digits(1_200));
+        let rest = bytes.len().saturating_sub(cut);
+        assert_eq!(JobInput::decompress(&bytes[..rest]), Err(InputError::Corrupt));
     }
 }
 
-/// The packed form, as it goes on the wire.
-fn packed(text: &str) -> Vec<u8> {
+/// The compressed form, as sent on the wire.
+fn compressed(text: &str) -> Vec<u8> {
     let bytes = encode(&JobInput::from(text));
     match ciborium::from_reader(bytes.as_slice()) {
-        Ok(Value::Bytes(packed)) => packed,
-        other => panic!("not packed: {other:?}"),
+        Ok(Value::Bytes(bytes)) => bytes,
+        other => panic!("not compressed: {other:?}"),
     }
 }
 
 #[test]
-fn an_input_that_grows_beyond_all_bounds_is_refused() {
-    let packed = packed(&"x".repeat(64 * MAX_INPUT_BYTES));
-    assert!(packed.len() < MAX_INPUT_BYTES);
-    assert_eq!(JobInput::decompress(&packed), Err(InputError::TooLong));
+fn an_input_that_expands_beyond_the_limit_is_rejected() {
+    let bytes = compressed(&"x".repeat(64 * MAX_INPUT_BYTES));
+    assert!(bytes.len() < MAX_INPUT_BYTES);
+    assert_eq!(JobInput::decompress(&bytes), Err(InputError::TooLong));
 }
--- a/laurelstile-core/tests/leased_subset.rs
+++ b/laurelstile-core/tests/leased_subset.rs
@@ -1,4 +1,4 @@
-//! Which gateways agents keep sessions to.
+//! Selection of the gateways to which agents keep sessions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The agent of that number, which knows so many gateways.
+/// An agent that knows this many gateways.
 fn agent(number: usize, gateways: usize) -> Subset {
     let zone = ZONES[number % ZONES.len()].to_owned();
     let mut subset = Subset::new(format!("agent-{number}"), zone);
@@ -46,14 +46,14 @@
 #[case::few(4)]
 #[case::a_dozen(12)]
 #[case::sixteen(16)]
-fn all_of_a_few_gateways_are_wanted(#[case] gateways: usize) {
+fn few_gateways_are_all_wanted(#[case] gateways: usize) {
     assert_eq!(names(&mut agent(0, gateways), at(0)).len(), gateways);
 }
 
 #[rstest]
 #[case::fifty_five(55, 240)]
 #[case::two_hundred(200, 780)]
-fn each_agent_has_few_sessions_and_each_gateway_its_share(
+fn sessions_per_agent_are_bounded_and_spread_evenly(
     #[case] gateways: usize,
     #[case] agents: usize,
 ) {
@@ -74,19 +74,19 @@
 }
 
 #[test]
-fn most_sessions_stay_in_the_zone_and_some_do_not() {
+fn sessions_are_split_between_own_and_other_zones() {
     for number in 0..50 {
         let mut subset = agent(number, 55);
         let own = ZONES[number % ZONES.len()];
         let wanted = subset.wanted(at(0));
-        let (near, far): (Vec<Member>, Vec<Member>) =
+        let (own_zone, other_zones): (Vec<Member>, Vec<Member>) =
             wanted.into_iter().partition(|member| member.zone == own);
-        assert_eq!((near.len(), far.len()), (10, 6));
+        assert_eq!((own_zone.len(), other_zones.len()), (10, 6));
     }
 }
 
 #[test]
-fn a_zone_with_few_gateways_leaves_more_to_the_others() {
+fn other_zones_make_up_for_a_zone_with_few_gateways() {
     let mut subset = Subset::new("agent".into(), "lonely".into());
     let mut members: Vec<Member> = (0..50).map(gateway).collect();
     members[0].zone = "lonely".into();
@@ -97,13 +97,17 @@
 }
 
 #[test]
-fn a_gateway_that_does_not_answer_has_a_substitute_until_it_does() {
+fn a_gateway_is_substituted_until_it_answers() {
     let mut subset = agent(0, 55);
     let before = names(&mut subset, at(0));
     connect_all(&mut subset, at(0));
-    let silent = before.first().expect("it wants some").clone();
+    let silent = before.first().expect("no gateway is wanted").clone();
     subset.set_connected(&silent, false);
-    assert_eq!(names(&mut subset, at(100)), before, "it may be back soon");
+    assert_eq!(
+        names(&mut subset, at(100)),
+        before,
+        "a substitute is added only after a delay"
+    );
     let with_substitute = names(&mut subset, at(1_000));
     assert_eq!(with_substitute.len(), 17);
     assert!(with_substitute.contains(&silent), "it is still dialed");
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn when_a_zone_is_gone_its_agents_turn_to_others() {
+fn agents_of_a_lost_zone_use_other_zones() {
     let mut subset = agent(0, 55);
     let before = names(&mut subset, at(0));
     connect_all(&mut subset, at(0));
@@ -149,17 +153,17 @@
 }
 
 #[test]
-fn a_session_that_nobody_named_is_kept() {
+fn a_session_to_an_unlisted_gateway_is_kept() {
     let mut subset = agent(0, 55);
     let wanted = subset.wanted(at(0));
     assert!(subset.should_keep(&wanted, "a seed that no list names"));
     let other = (0..55).map(gateway).find(|member| !wanted.contains(member));
-    let other = other.expect("there are more than it wants");
+    let other = other.expect("all gateways are wanted");
     assert!(!subset.should_keep(&wanted, &other.name));
 }
 
 #[test]
-fn nothing_is_let_go_before_anybody_was_named() {
+fn sessions_are_kept_until_gateways_are_listed() {
     let mut subset = Subset::new("agent".into(), "a".into());
     subset.set_connected("a seed", true);
     let wanted = subset.wanted(at(0));
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn nothing_is_let_go_before_half_of_the_wanted_are_there() {
+fn sessions_are_kept_until_half_of_the_wanted_are_connected() {
     let mut subset = agent(0, 55);
     let wanted = subset.wanted(at(0));
     for (number, member) in wanted.iter().enumerate() {
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn a_session_counts_that_was_opened_before_its_gateway_was_named() {
+fn a_session_opened_before_its_gateway_was_listed_counts() {
     let mut subset = Subset::new("agent".into(), "a".into());
     subset.set_connected("gateway-0", true);
     subset.add_members((0..55).map(gateway).collect());
@@ -186,12 +190,12 @@
     assert_eq!(
         names(&mut subset, at(5_000)),
         before,
-        "nobody is sought in vain"
+        "connected gateways need no substitutes"
     );
 }
 
 #[test]
-fn a_gateway_that_moved_is_sought_at_its_new_address() {
+fn a_moved_gateway_is_wanted_at_its_new_address() {
     let mut subset = agent(0, 3);
     connect_all(&mut subset, at(0));
     let moved = Member {
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -1,4 +1,4 @@
-//! An agent whose worker and gateways the test plays.
+//! A test rig for an agent; the test acts as its worker and gateways.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -23,50 +23,50 @@
 
 use super::{at, cpu};
 
-/// An agent whose worker and gateways the test plays. The worker's clock is
-/// the test's, 1,000 s ahead.
+/// An agent whose worker and gateways the test simulates. The worker's clock is 1,000 s ahead of
+/// the test's.
 pub struct AgentRig {
-    /// The machine.
+    /// The agent under test.
     pub machine: LeasedAgent,
-    /// Orders that are not answered.
+    /// Commands to the worker that have not been answered.
     pub orders: VecDeque<Order>,
-    /// Messages to gateways.
+    /// Messages sent to gateways, in order.
     pub sent: Vec<(SessionId, FromAgent)>,
-    /// Sessions that were closed, in order.
+    /// Sessions that the agent closed, in order.
     pub closed: Vec<SessionId>,
-    /// What a later agent is to know of the worker, in order.
+    /// Records of the worker that the agent stored for its successor, in order.
     pub remembered: Vec<KnownLife>,
     /// Ids whose deregistrations were answered, in order.
     pub deregistrations: Vec<String>,
-    /// The life of the worker for which orders are answered.
+    /// The worker incarnation in whose name commands are answered.
     pub incarnation: WorkerIncarnation,
-    /// What the log was told, in order.
+    /// Decisions reported to the log, in order.
     pub decisions: Vec<AgentDecision>,
-    /// Whether the machine has stopped.
+    /// Whether the agent has stopped.
     pub stopped: bool,
-    /// When the last event was.
+    /// Time of the last event.
     now: Timestamp,
     batches: u64,
 }
 
-/// The gateway that the rig's helper functions play.
+/// The gateway that the rig's helper functions act as.
 pub const GATEWAY: Incarnation = Incarnation(7);
-/// Heartbeats that tests need not play.
+/// Heartbeat times long enough that tests need not send any.
 pub const RARE_HEARTBEATS: HeartbeatTimes = HeartbeatTimes {
     interval: Span::from_secs(3_600),
     grace: Span::from_secs(3),
 };
-/// Tokens of the rig's orders are above this.
+/// The lowest fencing token of the rig's commands is above this.
 pub const TOKEN_FLOOR: FenceToken = FenceToken(5_000_000);
-/// Its session.
+/// Session of [`GATEWAY`].
 pub const SESSION: SessionId = SessionId(70);
 
-/// The worker's clock.
+/// Reading of the worker's clock.
 pub fn worker_clock(now: Timestamp) -> WorkerClock {
     WorkerClock(1_000_000 + now.0 / 1_000)
 }
 
-/// What the worker says of itself in a life.
+/// Registration that the worker sends in an incarnation.
 pub fn registration(
     now: Timestamp,
     life: WorkerIncarnation,
@@ -85,12 +85,12 @@
 }
 
 impl AgentRig {
-    /// An agent that has not heard of its worker, with a session to a gateway.
+    /// An agent with a session to a gateway that has not heard from its worker.
     pub fn new() -> Self {
         Self::with_heartbeats(RARE_HEARTBEATS)
     }
 
-    /// The same, with a worker that is to be heard as often.
+    /// As [`Self::new`], with these heartbeat times.
     pub fn with_heartbeats(heartbeats: HeartbeatTimes) -> Self {
         let options = AgentOptions {
             zone: "here".into(),
@@ -124,14 +124,14 @@
         self.event(now, AgentEvent::Opened { session, gateway });
     }
 
-    /// Free room that a session was last told of, in thousandths of a core.
+    /// Free processor in the last report to a session, in thousandths of a core.
     pub fn reported_free_cpu(&self, session: SessionId) -> Option<u32> {
         let reports = self.sent.iter().rev().filter(|(to, _)| *to == session);
         let mut rooms = reports.filter_map(|(_, message)| message.report);
         rooms.next().map(|report| report.free.cpu_millis)
     }
 
-    /// Rooms that a session was offered, in order.
+    /// Resources offered to a session, in order.
     pub fn offers(&self, session: SessionId) -> Vec<Resources> {
         self.offers_to(session)
             .map(|offer| offer.resources)
@@ -143,7 +143,7 @@
     /// # Panics
     /// If there was none.
     pub fn last_offer(&self, session: SessionId) -> Offer {
-        self.offers_to(session).last().expect("an offer")
+        self.offers_to(session).last().expect("no offer was sent")
     }
 
     fn offers_to(&self, session: SessionId) -> impl Iterator<Item = Offer> {
@@ -153,7 +153,7 @@
             .flat_map(|(_, message)| message.offers.iter().copied())
     }
 
-    /// A message of a session, with a fresh echo.
+    /// A session sends a message with a fresh echo.
     pub fn message_from(&mut self, now: Timestamp, session: SessionId, body: ToAgentBody) {
         let message = ToAgent {
             echo: now,
@@ -163,7 +163,7 @@
         self.event(now, AgentEvent::Message { session, message });
     }
 
-    /// An agent with its worker, of so much room, under control.
+    /// An agent that controls a worker with this capacity.
     pub fn with_worker(capacity: Resources) -> Self {
         let mut rig = Self::new();
         rig.register(at(0), "life-1", capacity, false);
@@ -191,12 +191,12 @@
         }
     }
 
-    /// Whether the worker may be given tasks, as of the last event.
+    /// Whether the worker accepts tasks, as of the last event.
     pub fn is_available(&self) -> bool {
         self.machine.is_available(self.now)
     }
 
-    /// Lets time pass.
+    /// Handles a tick.
     pub fn tick(&mut self, now: Timestamp) {
         self.event(now, AgentEvent::Tick);
     }
@@ -206,12 +206,12 @@
         self.heartbeat(now, registration(now, life.into(), capacity, draining));
     }
 
-    /// A heartbeat of the worker comes.
+    /// The worker sends this heartbeat.
     pub fn heartbeat(&mut self, now: Timestamp, registration: Registration) {
         self.event(now, AgentEvent::Registered(registration));
     }
 
-    /// The record of an earlier agent is read; its clock is old.
+    /// The agent reads its predecessor's record of the worker, with an old clock reading.
     pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Resources) {
         let registration = Registration {
             life: life.into(),
@@ -225,17 +225,17 @@
         self.event(now, AgentEvent::Recalled(registration));
     }
 
-    /// Token of the latest order.
+    /// Fencing token of the latest command.
     pub fn last_token(&self) -> Option<u64> {
         self.orders.back().map(|order| order.token.0)
     }
 
-    /// The gateway sends something, with a fresh echo.
+    /// The gateway sends a message with a fresh echo.
     pub fn message(&mut self, now: Timestamp, body: ToAgentBody) {
         self.message_with_echo(now, now, body);
     }
 
-    /// The gateway sends something, with an echo of that age.
+    /// The gateway sends a message with this echo.
     pub fn message_with_echo(&mut self, now: Timestamp, echo: Timestamp, body: ToAgentBody) {
         let message = ToAgent {
             echo,
@@ -251,7 +251,7 @@
         );
     }
 
-    /// The gateway acknowledges every end.
+    /// The gateway acknowledges all ends.
     pub fn acknowledge_all(&mut self, now: Timestamp) {
         let message = ToAgent {
             echo: now,
@@ -267,8 +267,8 @@
         );
     }
 
-    /// A batch of first runs, each of one core for 100 ms, that may wait for
-    /// `patience` milliseconds.
+    /// A batch of first runs, each of one core for 100 ms, that may wait at the agent for
+    /// `max_wait_millis`.
     pub fn batch(&mut self, job: u64, tasks: u32, max_wait_millis: u32) -> ToAgentBody {
         self.batches += 1;
         ToAgentBody::Start(StartBatch {
@@ -286,7 +286,7 @@
         })
     }
 
-    /// Takes the starts out of the orders that are not answered.
+    /// Takes the starts out of the unanswered commands.
     pub fn take_starts(&mut self) -> Vec<RunId> {
         self.take(|kind| match kind {
             OrderKind::Start { run, .. } => Some(*run),
@@ -294,7 +294,7 @@
         })
     }
 
-    /// Takes the stops out of the orders that are not answered.
+    /// Takes the stops out of the unanswered commands.
     pub fn take_stops(&mut self) -> Vec<RunId> {
         self.take(|kind| match kind {
             OrderKind::Stop { run } => Some(*run),
@@ -302,8 +302,8 @@
         })
     }
 
-    /// Takes the watches out: the highest end seen, and whether the lease is
-    /// renewed.
+    /// Takes the watches out of the unanswered commands: the last end seen, and whether the lease
+    /// is renewed.
     pub fn take_watches(&mut self) -> Vec<(u64, bool)> {
         self.take(|kind| match kind {
             OrderKind::Watch {
@@ -315,7 +315,7 @@
         })
     }
 
-    /// The leases in the orders that are not answered, which stay where they are.
+    /// The leases in the unanswered commands, which stay in the queue.
     pub fn leases(&self) -> Vec<WorkerClock> {
         let leases = self.orders.iter().filter_map(|order| match &order.kind {
             OrderKind::Start { lease_until, .. } => Some(*lease_until),
@@ -353,7 +353,7 @@
         );
     }
 
-    /// A start gets no answer.
+    /// A start times out.
     pub fn time_out_start(&mut self, now: Timestamp, run: RunId) {
         self.event(
             now,
@@ -365,7 +365,7 @@
         );
     }
 
-    /// The worker answers a stop, or does not.
+    /// The worker answers a stop, or the stop times out.
     pub fn answer_stop(&mut self, now: Timestamp, run: RunId, is_answered: bool) {
         let answer = if is_answered {
             Ok(OrderAnswer {
@@ -385,18 +385,18 @@
         );
     }
 
-    /// The worker answers the watch that is under way.
+    /// The worker answers the pending watch.
     pub fn answer_watch(&mut self, now: Timestamp, lists: WorkerLists) {
         self.answer_watch_as(now, Ok(lists));
     }
 
-    /// The worker answers the watch that is under way, or rejects it.
+    /// The worker answers the pending watch, or rejects it.
     pub fn answer_watch_as(&mut self, now: Timestamp, lists: Result<WorkerLists, Rejection>) {
         let started_at = self.incarnation.started_at;
         self.answer_watch_of(now, started_at, lists);
     }
 
-    /// A process that was born then answers the watch that is under way.
+    /// A process that started at `started_at` answers the pending watch.
     pub fn answer_watch_of(
         &mut self,
         now: Timestamp,
@@ -418,17 +418,17 @@
         );
     }
 
-    /// The watch that is under way gets no answer.
+    /// The pending watch times out.
     pub fn time_out_watch(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::NoAnswer);
     }
 
-    /// The worker, asked by the watch that is under way, answers that its life is over.
+    /// The pending watch is answered with the end of the worker's incarnation.
     pub fn end_incarnation(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::LifeOver);
     }
 
-    /// Nobody listens for the watch that is under way.
+    /// The connection for the pending watch is refused.
     pub fn refuse_watch(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::Refused);
     }
@@ -444,13 +444,13 @@
         );
     }
 
-    /// The worker says that it ends once it is answered.
+    /// The worker deregisters; it exits once it is answered.
     pub fn deregister(&mut self, now: Timestamp) {
         let id = Arc::clone(&self.incarnation.id);
         self.event(now, AgentEvent::Deregistration { id });
     }
 
-    /// Ends that the gateway was told, in order.
+    /// Ends that were sent to the gateway, in order.
     pub fn ends(&self) -> Vec<(TaskId, EndKind)> {
         self.sent
             .iter()
@@ -472,7 +472,7 @@
     }
 }
 
-/// Lists of what runs, all at that progress, and what has ended.
+/// Lists of running tasks with their progress, and of ended runs.
 pub fn lists(running: &[(RunId, u32)], ended: &[(u64, RunId, WorkerEndKind)]) -> WorkerLists {
     WorkerLists {
         unreadable: 0,
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -1,4 +1,4 @@
-//! A gateway whose agents and callers the test plays.
+//! A test rig for a gateway; the test acts as its agents, peers and callers.
 
 use std::collections::VecDeque;
 
@@ -20,41 +20,41 @@
 
 use super::{STOP, at, configuration, task};
 
-/// A gateway whose agents and callers the test plays.
+/// A gateway whose agents, peers and callers the test simulates.
 pub struct GatewayRig {
-    /// The machine.
+    /// The gateway under test.
     pub machine: LeasedGateway,
-    /// Answers, in order.
+    /// Answers to callers, in order.
     pub answers: Vec<(CallNumber, Answer)>,
-    /// Batches to be started, with the session that they went to.
+    /// Batches sent to agents and not yet taken by the test, with their sessions.
     pub starts: VecDeque<(SessionId, StartBatch)>,
-    /// Tasks to be stopped.
+    /// Tasks that agents were asked to stop, in order.
     pub stops: Vec<TaskId>,
-    /// What was announced to agents, in order.
+    /// Announcements sent to agents, in order.
     pub announced: Vec<Announcement>,
-    /// Gateways that sessions were told of, in order.
+    /// Members sent to agents, with their sessions, in order.
     pub members: Vec<(SessionId, Vec<Member>)>,
-    /// What peers were sent, in order.
+    /// Messages sent to peers, in order.
     pub to_peers: Vec<(SessionId, ToPeer)>,
-    /// Numbers of the offers that were declined.
+    /// Numbers of declined offers, in order.
     pub declined: Vec<u64>,
-    /// What agents were told of evacuated zones, in order.
+    /// Evacuations sent to agents, with their sessions, in order.
     pub evacuations: Vec<(SessionId, Evacuations)>,
-    /// What agents were told of earlier ones.
+    /// Silences of predecessors sent to agents, with their sessions, in order.
     pub predecessors: Vec<(SessionId, Span)>,
-    /// Where the time of the jobs that were answered went, in order.
+    /// Stage times of answered jobs, in order.
     pub stages: Vec<StageTimes>,
-    /// Readings of agents' clocks that were sent back, in order.
+    /// Echoes of agents' clocks, in order.
     pub echoes: Vec<Timestamp>,
-    /// Whether the machine has stopped.
+    /// Whether the gateway has stopped.
     pub stopped: bool,
-    /// Versions put in force.
+    /// Versions of the configurations put in force, in order.
     pub in_force: Vec<u64>,
     ends: u64,
 }
 
 impl GatewayRig {
-    /// A gateway with a configuration.
+    /// A gateway with configuration version 1.
     pub fn new() -> Self {
         let identity = Identity {
             member: Member {
@@ -125,19 +125,19 @@
         }
     }
 
-    /// Lets time pass.
+    /// Handles a tick.
     pub fn tick(&mut self, now: Timestamp) {
         self.event(now, GatewayEvent::Tick);
     }
 
-    /// Lets time pass as a driver does, which wakes the machine twice a second at least.
+    /// Handles ticks every 500 ms, the longest interval between the driver's ticks.
     pub fn pass_time(&mut self, from_millis: u64, to_millis: u64) {
         for millis in (from_millis..to_millis).step_by(500) {
             self.tick(at(millis));
         }
     }
 
-    /// A peer dials, and its session is open.
+    /// A peer dials and opens a session.
     pub fn open_peer(&mut self, now: Timestamp, session: SessionId) {
         let is_dialed = false;
         self.event(now, GatewayEvent::PeerOpened { session, is_dialed });
@@ -148,8 +148,7 @@
         self.event(now, GatewayEvent::PeerMessage { session, message });
     }
 
-    /// An agent joins with a session of that number and a worker of so much
-    /// room.
+    /// An agent joins with a session of that number and a worker of this capacity.
     pub fn join(&mut self, now: Timestamp, session: u64, name: &str, capacity: Resources) {
         self.join_for(now, session, name, "parcels", capacity);
     }
@@ -195,13 +194,13 @@
         self.report(now, session, 0, capacity, FromAgentBody::Snapshot(snapshot));
     }
 
-    /// The session of an agent that has joined breaks.
+    /// The session of an agent breaks.
     pub fn lose_session(&mut self, now: Timestamp, session: u64) {
         let session = SessionId(session);
         self.event(now, GatewayEvent::AgentClosed { session });
     }
 
-    /// The agent that joined with `agent` as its session has another, and holds these tasks.
+    /// The agent that first joined with session `agent` reconnects, and holds these tasks.
     pub fn rejoin(
         &mut self,
         now: Timestamp,
@@ -229,7 +228,7 @@
         self.report(now, session, 0, capacity, FromAgentBody::Snapshot(snapshot));
     }
 
-    /// A message from an agent, with a report of `free` room.
+    /// An agent sends a message with a report of `free` resources.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -259,7 +258,7 @@
         );
     }
 
-    /// A report of `free` room and a pace.
+    /// An agent reports `free` resources and its relative run time.
     pub fn report_pace(
         &mut self,
         now: Timestamp,
@@ -284,7 +283,7 @@
         self.event(now, GatewayEvent::AgentMessage { session, message });
     }
 
-    /// An agent offers room.
+    /// An agent offers resources.
     pub fn offer(&mut self, now: Timestamp, session: u64, offer: Offer) {
         let message = FromAgent {
             clock: now,
@@ -297,13 +296,13 @@
         self.event(now, GatewayEvent::AgentMessage { session, message });
     }
 
-    /// A caller hands a job in.
+    /// A caller submits a job.
     pub fn submit(&mut self, now: Timestamp, call: u64, request: JobRequest) {
         let call = CallNumber(call);
         self.event(now, GatewayEvent::Submit { call, request });
     }
 
-    /// Ends every task of a batch in one way; the worker has `free` room then.
+    /// Ends every task of a batch with the same outcome; the worker then has `free` resources.
     pub fn end(
         &mut self,
         now: Timestamp,
@@ -329,15 +328,15 @@
         self.report(now, session.0, batch.number, free, body);
     }
 
-    /// The next batch to be started.
+    /// The next batch sent to an agent.
     ///
     /// # Panics
     /// If there is none.
     pub fn next_start(&mut self) -> (SessionId, StartBatch) {
-        self.starts.pop_front().expect("a batch to be started")
+        self.starts.pop_front().expect("no batch was sent")
     }
 
-    /// The last answer.
+    /// The last answer to a caller.
     pub fn last_answer(&self) -> Option<Answer> {
         self.answers.last().map(|(_, answer)| *answer)
     }
--- a/laurelstile-core/tests/leased_support/mod.rs
+++ b/laurelstile-core/tests/leased_support/mod.rs
@@ -1,5 +1,4 @@
-//! What the tests of leased workers share: a gateway with agents that the test
-//! plays, and an agent with a worker that the test plays.
+//! Shared support of the leased tests: rigs for a gateway and for an agent.
 #![allow(dead_code, reason = "each test uses a part")]
 
 mod agent_rig;
@@ -23,12 +22,12 @@
 #[allow(unused_imports, reason = "each test uses a part")]
 pub use restarting_worker::*;
 
-/// A time, in milliseconds.
+/// A point in time, in milliseconds.
 pub const fn at(millis: u64) -> Timestamp {
     Timestamp(millis * 1_000)
 }
 
-/// Room of so many thousandths of a core.
+/// Resources of this many thousandths of a core.
 pub const fn cpu(millis: u32) -> Resources {
     Resources {
         cpu_millis: millis,
@@ -37,13 +36,13 @@
     }
 }
 
-/// The stop times that the tests use: 3 s of overlap, all over after 5 s.
+/// Stop times: 3 s of overlap with the successor, 5 s in all.
 pub const STOP: StopTimes = StopTimes {
     overlap: Span::from_secs(3),
     limit: Span::from_secs(5),
 };
 
-/// A configuration of one queue.
+/// A configuration with one queue.
 pub fn configuration(version: u64) -> QueueConfiguration {
     QueueConfiguration {
         version,
@@ -59,7 +58,7 @@
     }
 }
 
-/// The queue of that configuration.
+/// Settings of the queue of [`configuration`].
 pub fn queue() -> QueueSettings {
     QueueSettings {
         name: "checks".into(),
@@ -74,7 +73,7 @@
     }
 }
 
-/// A job of one step.
+/// A job with one step of tasks of one core each.
 pub fn job(id: u64, tasks: u32, estimate_millis: u64) -> JobRequest {
     JobRequest {
         id: JobId(id),
@@ -93,7 +92,7 @@
     }
 }
 
-/// A task of a job of one step.
+/// A task of a job with one step.
 pub fn task(job: u64, index: u32) -> TaskId {
     TaskId {
         job: JobId(job),
@@ -103,7 +102,7 @@
     }
 }
 
-/// A first run of a task.
+/// The first run of a task.
 pub fn run(job: u64, index: u32) -> RunId {
     RunId {
         task: task(job, index),
--- a/laurelstile-core/tests/leased_support/restarting_worker.rs
+++ b/laurelstile-core/tests/leased_support/restarting_worker.rs
@@ -1,4 +1,4 @@
-//! A worker that starts again under its id, as tests play it.
+//! A rig for a worker that restarts under the same id.
 
 use laurelstile_core::leased::agent::worker::{Registration, WorkerClock, WorkerLists};
 use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
@@ -6,14 +6,14 @@
 
 use super::{AgentRig, at, cpu, registration};
 
-/// When the first of its lives began.
+/// Start time of the first incarnation, in milliseconds of Unix time.
 pub const FIRST_START: u64 = 1_700_000_000_000;
-/// When the second did.
+/// Start time of the second incarnation.
 pub const SECOND_START: u64 = FIRST_START + 60_000;
-/// When it did if the clock of its machine was set back in between.
+/// Start time of the second incarnation if the machine's clock was set back in between.
 pub const SECOND_START_AFTER_CLOCK_STEP: u64 = FIRST_START - 2_000;
 
-/// The worker's life that began then.
+/// The worker's incarnation with this start time.
 pub fn incarnation(started_at: u64) -> WorkerIncarnation {
     WorkerIncarnation {
         id: "worker-1".into(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// What it says of itself `age` milliseconds after its birth: its counts begin anew.
+/// A heartbeat sent `age` milliseconds after the start, from which clock and sequence count.
 pub fn heartbeat_of(started_at: u64, age: u64, cpu_millis: u32, draining: bool) -> Registration {
     Registration {
         clock: WorkerClock(age),
@@ -30,7 +30,7 @@
     }
 }
 
-/// An agent that uses the worker in its first life.
+/// An agent that controls the worker in its first incarnation.
 pub fn in_first_incarnation() -> AgentRig {
     let mut rig = AgentRig::new();
     rig.incarnation = incarnation(FIRST_START);
@@ -39,7 +39,7 @@
     rig
 }
 
-/// The same, with two runs there.
+/// As [`in_first_incarnation`], with two runs started.
 pub fn running() -> AgentRig {
     let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 2, 50);
@@ -50,20 +50,20 @@
     rig
 }
 
-/// The worker answers in its second life, for which orders are answered from now on.
+/// The worker answers as a new incarnation, in whose name later commands are answered.
 pub fn answer_restarted(rig: &mut AgentRig, now: Timestamp, started_at: u64, shown: WorkerLists) {
     rig.answer_watch_of(now, Some(StartTime(started_at)), Ok(shown.clone()));
     rig.incarnation = incarnation(started_at);
     rig.answer_watch(now, shown);
 }
 
-/// An agent whose worker crashed under its eyes and is back under its id, in use.
+/// An agent whose worker crashed, restarted under the same id, and is available again.
 pub fn restarted() -> AgentRig {
     let mut rig = running();
     rig.refuse_watch(at(20));
     rig.incarnation = incarnation(SECOND_START);
     rig.heartbeat(at(500), heartbeat_of(SECOND_START, 1, 4_000, false));
     rig.answer_watch(at(501), WorkerLists::default());
-    assert!(rig.is_available(), "it is used again");
+    assert!(rig.is_available(), "the restarted worker is available");
     rig
 }
--- a/laurelstile-core/tests/leased_timing.rs
+++ b/laurelstile-core/tests/leased_timing.rs
@@ -1,4 +1,4 @@
-//! The time bounds of leased workers fulfil the inequalities that no task runs beside itself by.
+//! Inequalities between the leased path's time bounds that keep runs of a task from overlapping.
 
 use laurelstile_core::leased::agent::worker::{ClockEstimate, WorkerClock};
 use laurelstile_core::leased::timing::{
@@ -9,14 +9,14 @@
 use rstest::rstest;
 
 #[test]
-fn leases_are_over_and_workers_have_killed_before_a_gateway_repeats_or_a_caller_returns() {
+fn runs_are_over_before_a_gateway_retries_or_a_caller_resubmits() {
     const { assert!(RUNS_OVER_AFTER.0 + MAX_STOP_TIME.0 <= AGENT_EXPIRY.0) }
     const { assert!(AGENT_EXPIRY.0 < CALLER_RETRY_DELAY.0) }
-    // What starts is answered for.
+    // Started runs have an owner whose echo is recent enough.
     const { assert!(MAX_START_ECHO_AGE.0 < OWNER_TIMEOUT.0) }
 }
 
-/// A lease counts from the agent's estimate of the worker's clock, which runs up to 2% slow.
+/// A lease is computed from the agent's estimate of the worker's clock, which may be 2% slow.
 #[rstest]
 fn a_lease_never_lasts_longer_than_its_bound(
     #[values(980, 990, 1_000)] clock_permille: u64,
@@ -31,7 +31,8 @@
     assert!(clock_at(renewed + MAX_LEASE_DURATION.0) >= until);
 }
 
-/// What is answered for until a time in the past has a lease that began then.
+/// An estimate for a past time must not exceed the clock's reading then, or a lease that begins
+/// there would be too long.
 #[test]
 fn an_estimate_of_an_earlier_time_is_not_ahead_of_the_clock() {
     let mut estimate = ClockEstimate::default();
