--- a/laurelstile-types/src/json.rs
+++ b/laurelstile-types/src/json.rs
@@ -1,5 +1,4 @@
-//! Reading JSON files strictly: a fault is reported with file, place and
-//! reason.
+//! Strict reading of JSON files: errors name the file, the field and the reason.
 
 use std::path::{Path, PathBuf};
 
@@ -10,35 +9,35 @@
 /// Why a JSON file could not be read.
 #[derive(Debug, Error, Diagnostic)]
 pub enum JsonFileError {
-    /// The file could not be read at all.
+    /// The file could not be opened or read, or is not UTF-8.
     #[error("cannot read {}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[source]
         source: std::io::Error,
     },
-    /// The file is not of the expected shape.
+    /// The text is not JSON, or not of the expected type.
     #[error("{}: at {place}: {reason}", text.name())]
     Shape {
         /// Path of the field within the file.
         place: String,
-        /// What is wrong there.
+        /// What is wrong with the field.
         reason: serde_json::Error,
-        /// The text of the file.
+        /// Text of the file, for the report.
         #[source_code]
         text: NamedSource<String>,
-        /// Where in the text.
+        /// Byte offset of the error in the text.
         #[label("here")]
         at: SourceSpan,
     },
 }
 
-/// Reads a JSON file into `T`; unknown fields are refused where `T` says so.
+/// Reads a JSON file into `T`; unknown fields are rejected if `T` denies them.
 ///
 /// # Errors
-/// [`JsonFileError`] with file, place and reason.
+/// [`JsonFileError`] if the file cannot be read or does not contain a `T`.
 pub fn read_json_file<T: DeserializeOwned>(path: &Path) -> Result<T, JsonFileError> {
     let text = std::fs::read_to_string(path).map_err(|source| JsonFileError::Read {
         path: path.to_owned(),
@@ -47,10 +46,10 @@
     parse_json(&path.display().to_string(), text)
 }
 
-/// Reads the text of a JSON file called `name` into `T`.
+/// Parses the text of a JSON file called `name` into `T`.
 ///
 /// # Errors
-/// [`JsonFileError::Shape`] with file, place and reason.
+/// [`JsonFileError::Shape`] if the text is not a `T`.
 pub fn parse_json<T: DeserializeOwned>(name: &str, text: String) -> Result<T, JsonFileError> {
     let deserializer = &mut serde_json::Deserializer::from_str(&text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
@@ -66,7 +65,7 @@
     })
 }
 
-/// Byte offset of a line and column, both counted from 1.
+/// Byte offset of a line and column, both counted from 1; within the text if it is not empty.
 fn offset_of(text: &str, line: usize, column: usize) -> usize {
     let before: usize = text
         .split_inclusive('\n')
--- a/laurelstile-types/src/lib.rs
+++ b/laurelstile-types/src/lib.rs
@@ -1,5 +1,5 @@
-//! Types shared by every laurelstile crate: identifiers, time, the
-//! configuration model, run outcomes and the caller-facing API types.
+//! Types shared by the laurelstile crates: identifiers, time, the configuration model, outcomes of
+//! submissions, and the types of the HTTP API.
 #![deny(warnings)]
 #![forbid(unsafe_code)]
 
--- a/laurelstile-types/src/platform.rs
+++ b/laurelstile-types/src/platform.rs
@@ -1,53 +1,53 @@
-//! The platform's protocol as laurelstile uses it: rows of a transactional
-//! table and the machine list.
+//! The part of the platform's protocol that laurelstile uses: rows of a transactional table, and
+//! the machine list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::ZoneName;
 
-/// Key of a row of the table.
+/// Key of a row.
 pub type RowKey = String;
 
-/// A row: an opaque JSON value under a key.
+/// A row of the table: an opaque JSON value under a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Key of the row.
     pub key: RowKey,
-    /// Value; `None` where the row does not exist (on writes: delete it).
+    /// Value; `None` if the row does not exist, or to delete it in a write.
     pub value: Option<serde_json::Value>,
 }
 
-/// A transaction: every condition must hold for any write to take effect.
+/// A transaction: its writes take effect only if all conditions hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Rows that must have exactly these values (`None`: be absent).
+    /// Rows that must have exactly these values, or not exist if `None`.
     pub conditions: Vec<Row>,
-    /// Rows to write (`None`: delete).
+    /// Rows to write, or to delete if `None`.
     pub writes: Vec<Row>,
 }
 
-/// The table's answer to a transaction.
+/// The table's answer to a [`Transaction`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionReply {
-    /// Whether the conditions held and the writes took effect.
+    /// Whether all conditions held and the writes took effect.
     pub committed: bool,
 }
 
-/// A read of several rows at one point in time.
+/// A consistent read of several rows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadRequest {
     /// Keys of the rows to read.
     pub keys: Vec<RowKey>,
 }
 
-/// The rows, in the order asked for.
+/// The table's answer to a [`ReadRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// The rows read.
+    /// The rows, in the order of the requested keys.
     pub rows: Vec<Row>,
 }
 
-/// What a machine of the list runs.
+/// The kind of process that a machine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineRole {
@@ -57,7 +57,7 @@
     Backend,
 }
 
-/// State of a machine as the platform's lagging list gives it.
+/// State of a machine in the platform's list, which lags behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
@@ -65,28 +65,28 @@
     Live,
     /// About to leave; it must get no new work.
     Leaving,
-    /// No longer there.
+    /// No longer present.
     Gone,
 }
 
-/// One machine of the platform's list.
+/// A machine of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name of the gateway or back end that it runs.
+    /// Name of the gateway or back end.
     pub name: String,
-    /// What it runs.
+    /// The kind of process that it runs.
     pub role: MachineRole,
-    /// Where the gateway's mesh port listens, or the agent's port.
+    /// Address of the gateway's mesh port, or of the agent's port.
     pub address: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Its state.
+    /// Last known state.
     pub state: MachineState,
 }
 
 /// The platform's machine list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines.
+    /// All machines that the platform lists, in any state.
     pub machines: Vec<Machine>,
 }
--- a/laurelstile-types/src/time.rs
+++ b/laurelstile-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the machines of `laurelstile-core` see it: passed in, never read.
+//! Time as the state machines of `laurelstile-core` use it: passed in, never read from a clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 #[serde(transparent)]
 pub struct Timestamp(pub u64);
 
-/// A span of time, in microseconds.
+/// A duration, in microseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,29 +17,29 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// A span of whole milliseconds.
+    /// A duration of whole milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// A duration of whole seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         Self(seconds * 1_000_000)
     }
 
-    /// The span in whole milliseconds, rounded up.
+    /// The duration in milliseconds, rounded up.
     pub const fn as_millis(self) -> u64 {
         self.0.div_ceil(1_000)
     }
 }
 
 impl Timestamp {
-    /// The point `span` after this one.
+    /// The point in time `span` after this one, saturating.
     pub fn after(self, span: Span) -> Self {
         Self(self.0.saturating_add(span.0))
     }
 
-    /// The span from `earlier` to this point; zero if `earlier` is later.
+    /// The duration from `earlier` to this point; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
--- a/laurelstile-types/tests/configuration.rs
+++ b/laurelstile-types/tests/configuration.rs
@@ -1,5 +1,4 @@
-//! Configuration files are checked as a whole; revisions keep drains and
-//! stops.
+//! Validation of configuration files, and revisions that keep drains and stops.
 
 use laurelstile_types::configuration::{Configuration, ConfigurationError};
 use laurelstile_types::id::ChangeId;
@@ -8,7 +7,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn good() -> Value {
+fn valid() -> Value {
     json!({
         "version": 1,
         "pools": [{"name": "main", "backends": [
@@ -23,12 +22,14 @@
 }
 
 fn parse(value: Value) -> Configuration {
-    serde_json::from_value(value).expect("the shape is right")
+    serde_json::from_value(value).expect("the value does not parse")
 }
 
 #[test]
-fn a_good_file_passes() {
-    parse(good()).check().expect("nothing is wrong");
+fn a_valid_file_passes() {
+    parse(valid())
+        .check()
+        .expect("the configuration is invalid");
 }
 
 #[rstest]
@@ -43,20 +44,22 @@
     "services[0].classes[0].deadline_millis"
 )]
 #[case::quota_over_capacity("/tenants/0/quota_slots", json!(17), "tenants[0].quota_slots")]
-fn a_fault_is_refused_with_its_place(
+fn an_invalid_value_is_rejected_with_its_path(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] place: &str,
 ) {
-    let mut file = good();
+    let mut file = valid();
     *file.pointer_mut(pointer).expect("the field is there") = value;
-    let error: ConfigurationError = parse(file).check().expect_err("the fault is found");
+    let error: ConfigurationError = parse(file)
+        .check()
+        .expect_err("the configuration was accepted");
     assert!(error.to_string().contains(place), "{error}");
 }
 
 #[test]
-fn an_unknown_field_is_refused_with_file_and_place() {
-    let mut file = good();
+fn an_unknown_field_is_rejected_with_file_and_path() {
+    let mut file = valid();
     file["pools"][0]["backends"][0]["slotz"] = json!(1);
     let path = std::env::temp_dir().join(format!("laurelstile-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("the file can be written");
@@ -74,34 +77,34 @@
 }
 
 #[test]
-fn drains_and_stops_outlast_applies_until_the_file_omits_them() {
+fn drains_and_stops_last_until_a_file_omits_their_target() {
     let apply = |value| Change::Apply(parse(value));
-    let first = Revision::following(None, id("a"), apply(good())).expect("it applies");
+    let first = Revision::following(None, id("a"), apply(valid())).expect("it applies");
     let drained = Revision::following(Some(&first), id("b"), Change::Drain("w1".into()))
         .expect("w1 is configured");
     let stopped = Revision::following(Some(&drained), id("c"), Change::Stop("parcels".into()))
         .expect("parcels is configured");
-    let again = Revision::following(Some(&stopped), id("d"), apply(good())).expect("it applies");
+    let again = Revision::following(Some(&stopped), id("d"), apply(valid())).expect("it applies");
     assert_eq!(again.number, 4);
     assert!(again.drained.contains(&"w1".into()));
     assert!(again.stopped.contains(&"parcels".into()));
 
-    let mut without = good();
+    let mut without = valid();
     without["pools"][0]["backends"]
         .as_array_mut()
         .expect("it is a list")
         .remove(0);
     let omitted = Revision::following(Some(&again), id("e"), apply(without)).expect("it applies");
     assert!(omitted.drained.is_empty());
-    let back = Revision::following(Some(&omitted), id("f"), apply(good())).expect("it applies");
+    let back = Revision::following(Some(&omitted), id("f"), apply(valid())).expect("it applies");
     assert!(back.drained.is_empty());
 }
 
 #[rstest]
 #[case(Change::Drain("nobody".into()))]
 #[case(Change::Stop("nothing".into()))]
-fn a_change_of_something_unknown_is_refused(#[case] change: Change) {
-    let first = Revision::following(None, id("a"), Change::Apply(parse(good())));
+fn a_change_of_an_unknown_target_is_rejected(#[case] change: Change) {
+    let first = Revision::following(None, id("a"), Change::Apply(parse(valid())));
     assert!(Revision::following(first.as_ref(), id("b"), change.clone()).is_none());
     assert!(Revision::following(None, id("b"), change).is_none());
 }
--- a/laurelstile-wire/examples/session_cost.rs
+++ b/laurelstile-wire/examples/session_cost.rs
@@ -1,8 +1,8 @@
-//! What a hello and a message cost in processor time, both sides together: the figures of the
-//! emulator's fleets (`laurelstile-sim/src/fleet/processor.rs`).
+//! Measures the processor time of hellos and messages, both sides together, for the constants in
+//! `laurelstile-sim/src/fleet/processor.rs`.
 //!
-//! Prints microseconds of a core for a hello, for a short message by itself and among many that
-//! wait, and for each kilobyte of a long one.
+//! Prints microseconds of one core for a hello, for a short message sent alone and among queued
+//! ones, and per kilobyte of a long message.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,14 +15,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Hellos that are timed.
+/// Number of timed hellos.
 const HELLOS: u64 = 2_000;
-/// Messages that are timed.
+/// Number of timed short messages.
 const MESSAGES: u64 = 100_000;
-/// Lists that are timed, and members of each.
+/// Number of timed member lists, and members of each.
 const LISTS: u64 = 5_000;
 const MEMBERS: u16 = 128;
-/// Length of a tick of the system's count of processor time.
+/// Resolution of the kernel's processor time counters.
 const TICK: Duration = Duration::from_millis(10);
 
 fn node(name: &str) -> LocalNode {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Processor time of this process so far.
+/// Processor time used by this process so far.
 fn processor_time() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default();
@@ -64,26 +64,26 @@
     (dialed.expect("a session").0, accepted.expect("a session").0)
 }
 
-/// Sends so many copies of a message over a session, and waits until all have come.
-async fn carry(one: Socket, other: Socket, message: &ToPeer, count: u64) {
+/// Sends `count` copies of a message over a session, and waits until all are received.
+async fn send_all(one: Socket, other: Socket, message: &ToPeer, count: u64) {
     let (outgoing, messages) = mpsc::unbounded_channel();
     for _ in 0..count {
         let _ = outgoing.send(message.clone());
     }
     let (never, nothing) = mpsc::unbounded_channel::<ToPeer>();
-    let mut come = 0;
+    let mut received = 0;
     let sending = session::run(one, messages, |_: ToPeer| {});
     let receiving = session::run(other, nothing, |_: ToPeer| {
-        come += 1;
+        received += 1;
     });
     drop(outgoing);
     tokio::join!(sending, receiving);
     drop(never);
-    assert_eq!(come, count);
+    assert_eq!(received, count);
 }
 
-/// Sends so many messages to and fro, each by itself.
-async fn exchange(one: Socket, other: Socket, count: u64) {
+/// Sends `count` messages alternately in both directions, each alone.
+async fn ping_pong(one: Socket, other: Socket, count: u64) {
     let (to_other, from_one) = mpsc::unbounded_channel();
     let (to_one, from_other) = mpsc::unbounded_channel();
     let _ = to_other.send(ToPeer::InForce(0));
@@ -117,19 +117,19 @@
 
     let (one, other) = open(&listener, address).await;
     let before = processor_time();
-    exchange(one, other, MESSAGES).await;
+    ping_pong(one, other, MESSAGES).await;
     let alone = (processor_time() - before).as_secs_f64() * 1e6 / MESSAGES as f64;
 
     let (one, other) = open(&listener, address).await;
     let before = processor_time();
-    carry(one, other, &ToPeer::InForce(7), MESSAGES).await;
+    send_all(one, other, &ToPeer::InForce(7), MESSAGES).await;
     let short = (processor_time() - before).as_secs_f64() * 1e6 / MESSAGES as f64;
 
     let list = members();
     let kilobytes = encode(&list).len() as f64 / 1_000.0;
     let (one, other) = open(&listener, address).await;
     let before = processor_time();
-    carry(one, other, &list, LISTS).await;
+    send_all(one, other, &list, LISTS).await;
     let long = (processor_time() - before).as_secs_f64() * 1e6 / LISTS as f64;
     let kilobyte = (long - short) / kilobytes;
     println!(
--- a/laurelstile-wire/src/codec.rs
+++ b/laurelstile-wire/src/codec.rs
@@ -8,8 +8,8 @@
 /// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
-    // Our messages have no map with unserializable keys, and a vector takes
-    // every byte; nothing can fail.
+    // Cannot fail: messages have no maps with unserializable keys, and writing to a vector
+    // succeeds.
     let written = ciborium::into_writer(message, &mut bytes);
     debug_assert!(written.is_ok());
     bytes
@@ -18,7 +18,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// [`WireError::Garbled`] if the bytes are not such a message.
+/// [`WireError::Malformed`] if the bytes do not encode a `T`.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WireError> {
-    ciborium::from_reader(bytes).map_err(WireError::Garbled)
+    ciborium::from_reader(bytes).map_err(WireError::Malformed)
 }
--- a/laurelstile-wire/src/error.rs
+++ b/laurelstile-wire/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a session.
+//! Errors of sessions.
 
 use thiserror::Error;
 
@@ -8,37 +8,37 @@
     /// Nothing listens at the address.
     #[error("connection refused")]
     Refused,
-    /// The connection could not be made.
+    /// The connection failed for another reason.
     #[error("cannot connect: {0}")]
     Connect(#[source] std::io::Error),
-    /// The websocket failed, or a frame was too large.
+    /// The websocket failed, or a message exceeded the size limit.
     #[error("websocket: {0}")]
     Websocket(#[from] Box<tokio_tungstenite::tungstenite::Error>),
     /// The other side closed the connection.
     #[error("closed by the other side")]
     Closed,
-    /// A frame is not a message of the expected type.
-    #[error("garbled frame: {0}")]
-    Garbled(#[source] ciborium::de::Error<std::io::Error>),
+    /// A frame does not decode to a message of the expected type.
+    #[error("malformed frame: {0}")]
+    Malformed(#[source] ciborium::de::Error<std::io::Error>),
     /// A frame is not binary.
-    #[error("unexpected kind of frame")]
+    #[error("expected a binary frame")]
     UnexpectedFrame,
-    /// The other side speaks another version.
-    #[error("protocol version {theirs}, this side speaks {ours}")]
+    /// The other side speaks another version of the protocol.
+    #[error("unsupported protocol version {theirs}, expected {ours}")]
     Version {
-        /// Version spoken here.
+        /// Version of this side.
         ours: u32,
-        /// Version spoken there.
+        /// Version of the other side.
         theirs: u32,
     },
-    /// The other side has another role than expected.
-    #[error("unexpected role")]
+    /// The other side has an unexpected role.
+    #[error("the other side has an unexpected role")]
     Role,
-    /// The other side does not know the secret.
-    #[error("the other side did not prove the secret")]
+    /// The other side's proof of the shared secret is invalid.
+    #[error("the other side's proof of the shared secret is invalid")]
     Proof,
-    /// The hello took too long.
-    #[error("hello timed out")]
+    /// Connecting, the websocket upgrade or the connecting or the hello timed out.
+    #[error("connecting or the hello timed out")]
     Timeout,
 }
 
@@ -49,14 +49,14 @@
 }
 
 impl WireError {
-    /// A short name for logs and metrics.
+    /// Name in logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Refused => "refused",
             Self::Connect(_) => "connect",
             Self::Websocket(_) => "websocket",
             Self::Closed => "closed",
-            Self::Garbled(_) => "garbled",
+            Self::Malformed(_) => "garbled",
             Self::UnexpectedFrame => "unexpected_frame",
             Self::Version { .. } => "version",
             Self::Role => "role",
--- a/laurelstile-wire/src/hello.rs
+++ b/laurelstile-wire/src/hello.rs
@@ -1,7 +1,8 @@
-//! The hello: versions, roles, names, and proofs of the shared secret.
+//! The hello, the handshake that opens a session: versions, roles, names, and mutual proofs of the
+//! shared secret.
 //!
-//! The dialer sends a challenge; the listener answers with its own challenge
-//! and a proof over both; the dialer proves itself in turn.
+//! The dialer sends a challenge; the listener answers with its own challenge and a proof over both;
+//! the dialer then sends its proof.
 
 use std::fmt;
 use std::time::Duration;
@@ -22,20 +23,20 @@
 
 /// Version of the protocol between laurelstile's processes.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// Longest time that a hello may take.
+/// Time-out of a hello.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
 const CHALLENGE_BYTES: usize = 16;
 
-/// A websocket of either side.
+/// A websocket, on either side of a session.
 pub type Socket = WebSocketStream<TcpStream>;
 
-/// The secret that all processes of an installation share.
+/// The secret that all processes of an installation share. Not printed by `Debug`.
 #[derive(Clone)]
 pub struct SharedSecret(Vec<u8>);
 
 impl SharedSecret {
-    /// A secret of these bytes.
+    /// A secret of these bytes, of any length.
     pub fn new(bytes: &[u8]) -> Self {
         Self(bytes.to_owned())
     }
@@ -47,7 +48,7 @@
     }
 }
 
-/// What a process is.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeRole {
     /// A gateway.
@@ -56,18 +57,18 @@
     Agent,
 }
 
-/// Who this process is.
+/// Identity of this process, and the secret that it proves.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
-    /// Its role.
+    /// Role of this process.
     pub role: NodeRole,
-    /// Its name.
+    /// Name of the gateway or back end.
     pub name: String,
-    /// Its incarnation.
+    /// Drawn at random at the start of the process.
     pub incarnation: Incarnation,
-    /// When it started.
+    /// Start of the process, from which its uptime is sent.
     pub started: std::time::Instant,
-    /// The shared secret.
+    /// Shared secret of the installation.
     pub secret: SharedSecret,
 }
 
@@ -82,7 +83,7 @@
     challenge: [u8; CHALLENGE_BYTES],
 }
 
-/// A proof of the secret over both hellos.
+/// HMAC-SHA256 of both hellos and the prover's side, keyed with the secret.
 #[derive(Debug, Serialize, Deserialize)]
 struct Proof(#[serde(with = "serde_bytes")] Vec<u8>);
 
@@ -92,17 +93,17 @@
     Listener,
 }
 
-/// Greets as the side that dialed.
+/// Performs the handshake as the side that dialed.
 ///
 /// # Errors
 /// Any [`WireError`]; the socket must not be used then.
-pub async fn greet_as_dialer(
+pub async fn handshake_as_dialer(
     socket: &mut Socket,
     local: &LocalNode,
     expected: NodeRole,
 ) -> Result<Remote, WireError> {
     with_timeout(async {
-        let ours = hello_of(local);
+        let ours = new_hello(local);
         send(socket, &ours).await?;
         let theirs: Hello = receive(socket).await?;
         check(&theirs, &[expected])?;
@@ -110,17 +111,17 @@
         verify(&proof, local, Prover::Listener, &ours, &theirs)?;
         let answer = prove(local, Prover::Dialer, &ours, &theirs);
         send(socket, &answer).await?;
-        Ok(remote_of(theirs))
+        Ok(into_remote(theirs))
     })
     .await
 }
 
-/// Greets as the side that was dialed; the other side has one of the roles
+/// Performs the handshake as the side that was dialed; the other side must have one of the roles
 /// `expected`.
 ///
 /// # Errors
 /// Any [`WireError`]; the socket must not be used then.
-pub async fn greet_as_listener(
+pub async fn handshake_as_listener(
     socket: &mut Socket,
     local: &LocalNode,
     expected: &[NodeRole],
@@ -128,26 +129,26 @@
     with_timeout(async {
         let theirs: Hello = receive(socket).await?;
         check(&theirs, expected)?;
-        let ours = hello_of(local);
+        let ours = new_hello(local);
         send(socket, &ours).await?;
         let proof = prove(local, Prover::Listener, &theirs, &ours);
         send(socket, &proof).await?;
         let answer: Proof = receive(socket).await?;
         verify(&answer, local, Prover::Dialer, &theirs, &ours)?;
-        Ok((theirs.role, remote_of(theirs)))
+        Ok((theirs.role, into_remote(theirs)))
     })
     .await
 }
 
 async fn with_timeout<T>(
-    greeting: impl Future<Output = Result<T, WireError>>,
+    handshake: impl Future<Output = Result<T, WireError>>,
 ) -> Result<T, WireError> {
-    tokio::time::timeout(HELLO_TIMEOUT, greeting)
+    tokio::time::timeout(HELLO_TIMEOUT, handshake)
         .await
         .unwrap_or(Err(WireError::Timeout))
 }
 
-fn hello_of(local: &LocalNode) -> Hello {
+fn new_hello(local: &LocalNode) -> Hello {
     let uptime = local.started.elapsed().as_micros();
     Hello {
         protocol: PROTOCOL_VERSION,
@@ -159,7 +160,7 @@
     }
 }
 
-fn remote_of(hello: Hello) -> Remote {
+fn into_remote(hello: Hello) -> Remote {
     Remote {
         name: hello.name,
         incarnation: hello.incarnation,
--- a/laurelstile-wire/src/lib.rs
+++ b/laurelstile-wire/src/lib.rs
@@ -1,6 +1,5 @@
-//! Sessions between laurelstile's own processes: CBOR messages over
-//! websockets, opened by a versioned hello in which both sides prove that
-//! they know the shared secret without sending it.
+//! Sessions between laurelstile's own processes: CBOR messages over websockets, opened by a
+//! versioned hello in which both sides prove that they know the shared secret without sending it.
 #![deny(warnings)]
 #![forbid(unsafe_code)]
 
--- a/laurelstile-wire/src/liveness.rs
+++ b/laurelstile-wire/src/liveness.rs
@@ -1,33 +1,33 @@
-//! Socket options by which a dead link is noticed.
+//! Socket options that detect dead connections.
 //!
-//! A machine without power or behind a cut says nothing: without these options
-//! a write to it succeeds for minutes.
+//! A machine without power or beyond a network partition sends nothing: without these options,
+//! writes to it succeed for minutes.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long sent bytes may go without being acknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
-/// Silence after which a connection is probed.
-const PROBE_AFTER: Duration = Duration::from_secs(2);
-/// Pause between probes.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
+/// How long sent bytes may stay unacknowledged before the connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Idle time after which keepalive probes are sent.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// Interval between keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keepalive probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets the options on a connection.
+/// Sets the options, and disables Nagle's algorithm.
 ///
 /// # Errors
-/// If the system refuses one.
+/// If the system rejects an option.
 pub fn configure(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_PAUSE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/laurelstile-wire/src/session.rs
+++ b/laurelstile-wire/src/session.rs
@@ -1,4 +1,4 @@
-//! Opening sessions and moving messages over them.
+//! Opening sessions and transferring messages over them.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -17,31 +17,29 @@
 use crate::codec::{decode, encode};
 use crate::error::WireError;
 use crate::hello::{
-    HELLO_TIMEOUT, LocalNode, NodeRole, Socket, greet_as_dialer, greet_as_listener,
+    HELLO_TIMEOUT, LocalNode, NodeRole, Socket, handshake_as_dialer, handshake_as_listener,
 };
 use crate::liveness;
 use crate::traffic::{self, Direction};
 
-/// Largest message that is taken, in bytes.
+/// Maximum size of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Read buffer of each session, in bytes: most messages are far smaller, and
-/// a gateway has a session to each agent.
+/// Size of each session's read buffer, in bytes. Small, since most messages are far smaller and a
+/// gateway has a session to each agent.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Longest that the opening of a connection may take, which is the systems' own work
-/// and no process's. A machine that is off says nothing, and the first packet to it
-/// would be repeated after a second only.
+/// Default time-out for opening a connection. Shorter than the second after which the operating
+/// system retransmits the first packet to a machine that does not answer.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long the other side may take to take in that the session is closed.
-const CLOSE_LIMIT: Duration = Duration::from_millis(200);
+/// Time-out for the closing handshake of a websocket.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Most messages that go out with one flush.
-const WRITE_BATCH: usize = 64;
+/// Maximum number of messages per flush.
+const MAX_MESSAGES_PER_FLUSH: usize = 64;
 
-/// Dials `address`, from the local address `source` if one is given, and
-/// greets.
+/// Dials `address`, from the local address `source` if given, and performs the handshake.
 ///
 /// # Errors
 /// Any [`WireError`].
@@ -54,8 +52,7 @@
     dial_with_timeout(CONNECT_TIMEOUT, address, source, local, expected).await
 }
 
-/// Dials as [`dial`] does, and gives the opening of the connection up after
-/// `limit`.
+/// As [`dial`], with the time-out `limit` for opening the connection.
 ///
 /// # Errors
 /// Any [`WireError`].
@@ -77,7 +74,7 @@
     let (mut socket, _) = tokio::time::timeout(HELLO_TIMEOUT, upgrading)
         .await
         .map_err(|_| WireError::Timeout)??;
-    let remote = greet_as_dialer(&mut socket, local, expected).await?;
+    let remote = handshake_as_dialer(&mut socket, local, expected).await?;
     Ok((socket, remote))
 }
 
@@ -92,7 +89,7 @@
     socket.connect(address).await
 }
 
-/// Takes a connection in and greets.
+/// Performs the handshake on an accepted connection; the other side must have the role `expected`.
 ///
 /// # Errors
 /// Any [`WireError`].
@@ -105,8 +102,7 @@
     Ok((socket, remote))
 }
 
-/// Takes in a connection of a process of any of the roles `expected`, and
-/// greets.
+/// As [`accept`], for any of the roles `expected`.
 ///
 /// # Errors
 /// Any [`WireError`].
@@ -120,15 +116,14 @@
     let mut socket = tokio::time::timeout(HELLO_TIMEOUT, upgrading)
         .await
         .map_err(|_| WireError::Timeout)??;
-    let (role, remote) = greet_as_listener(&mut socket, local, expected).await?;
+    let (role, remote) = handshake_as_listener(&mut socket, local, expected).await?;
     Ok((socket, role, remote))
 }
 
-/// Moves messages until either side closes: `outgoing` to the other side,
-/// what comes to `on_message`. Ends when `outgoing` has no sender left.
+/// Transfers messages until either side closes: sends those of `outgoing`, and passes received ones
+/// to `on_message`. Closes the session once all senders of `outgoing` are dropped.
 ///
-/// # Errors
-/// Why the session has ended; `Closed` if in an orderly way.
+/// Returns why the session has ended; [`WireError::Closed`] if either side closed it.
 pub async fn run<Out, In>(
     socket: Socket,
     outgoing: mpsc::UnboundedReceiver<Out>,
@@ -149,10 +144,10 @@
     mut sink: SplitSink<Socket, Message>,
     mut outgoing: mpsc::UnboundedReceiver<Out>,
 ) -> WireError {
-    let mut batch = Vec::with_capacity(WRITE_BATCH);
+    let mut batch = Vec::with_capacity(MAX_MESSAGES_PER_FLUSH);
     loop {
-        if outgoing.recv_many(&mut batch, WRITE_BATCH).await == 0 {
-            let closing = tokio::time::timeout(CLOSE_LIMIT, sink.close()).await;
+        if outgoing.recv_many(&mut batch, MAX_MESSAGES_PER_FLUSH).await == 0 {
+            let closing = tokio::time::timeout(CLOSE_TIMEOUT, sink.close()).await;
             let closed = closing.unwrap_or(Ok(()));
             return closed.map_or_else(WireError::from, |()| WireError::Closed);
         }
--- a/laurelstile-wire/src/traffic.rs
+++ b/laurelstile-wire/src/traffic.rs
@@ -1,46 +1,46 @@
-//! What sessions carry, by direction and kind of message.
+//! Traffic counters of all sessions, by direction and kind of message.
 //!
-//! Process-wide, like the metrics that it also feeds: a link belongs to the machine, so
-//! what counts is the sum over all sessions.
+//! They are process-wide, like the metrics that they also feed, since all sessions share the
+//! machine's link.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use metrics::counter;
 
-/// Metric: bytes of messages sent, with their frames; label `kind`.
+/// Metric: bytes of sent messages, including frame headers; label `kind`.
 pub const SENT_BYTES: &str = "laurelstile_sent_bytes_total";
-/// Metric: bytes of messages received, with their frames; label `kind`.
+/// Metric: bytes of received messages, including frame headers; label `kind`.
 pub const RECEIVED_BYTES: &str = "laurelstile_received_bytes_total";
 
-/// Bytes that a websocket puts around a message, on average: two to four, and four of a
-/// mask in one of the two directions.
+/// Average size of a websocket frame header: two to four bytes, and four of the mask from client to
+/// server.
 const FRAME_BYTES: u64 = 6;
 
-/// Which way a message went.
+/// Direction of a message, as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
-    /// From this process.
+    /// Sent by this process.
     Sent,
-    /// To this process.
+    /// Received by this process.
     Received,
 }
 
-/// Messages of one kind.
+/// Counts of the messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCount {
-    /// How many.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes, with their frames.
+    /// Their total size in bytes, including frame headers.
     pub bytes: u64,
 }
 
-/// Messages by direction and kind.
+/// Counts by direction and kind of message.
 pub type MessageCounts = BTreeMap<(Direction, &'static str), MessageCount>;
 
-static SINCE_LAST_TAKEN: Mutex<MessageCounts> = Mutex::new(BTreeMap::new());
+static COUNTS: Mutex<MessageCounts> = Mutex::new(BTreeMap::new());
 
-/// Counts a message.
+/// Counts a message, of this many bytes without frame header.
 pub fn record(direction: Direction, kind: &'static str, message_bytes: usize) {
     let bytes = message_bytes as u64 + FRAME_BYTES;
     let metric = match direction {
@@ -48,20 +48,18 @@
         Direction::Received => RECEIVED_BYTES,
     };
     counter!(metric, "kind" => kind).increment(bytes);
-    let mut tallies = tallies();
-    let tally = tallies.entry((direction, kind)).or_default();
-    tally.messages += 1;
-    tally.bytes += bytes;
+    let mut counts = lock_counts();
+    let count = counts.entry((direction, kind)).or_default();
+    count.messages += 1;
+    count.bytes += bytes;
 }
 
-/// What was counted since this was last asked.
+/// Returns the counts since the last call, and resets them.
 pub fn take() -> MessageCounts {
-    std::mem::take(&mut *tallies())
+    std::mem::take(&mut *lock_counts())
 }
 
-fn tallies() -> MutexGuard<'static, MessageCounts> {
-    // Counts are whole after each change, so a panic elsewhere does not spoil them.
-    SINCE_LAST_TAKEN
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner)
+fn lock_counts() -> MutexGuard<'static, MessageCounts> {
+    // The counts are consistent at every point, so a poisoned lock can be ignored.
+    COUNTS.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/laurelstile-wire/tests/sessions.rs
+++ b/laurelstile-wire/tests/sessions.rs
@@ -1,5 +1,4 @@
-//! Sessions: the secret is proved, and whoever sends something else is refused
-//! without harm to anybody else.
+//! Sessions require a proof of the shared secret, and end on malformed or unexpected frames.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,7 +15,7 @@
 use tokio_tungstenite::tungstenite::Message;
 
 const SECRET: &[u8] = b"a secret of the installation";
-const BOUND: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn node(role: NodeRole, secret: &[u8]) -> LocalNode {
     LocalNode {
@@ -34,7 +33,7 @@
     (listener, address)
 }
 
-/// Accepts one connection as an agent would, and says how it ended.
+/// Accepts one connection as an agent, and returns how its session ended.
 async fn accept_one(listener: TcpListener) -> WireError {
     let (stream, _) = listener.accept().await.expect("a connection");
     let local = node(NodeRole::Agent, SECRET);
@@ -55,9 +54,9 @@
 }
 
 #[tokio::test]
-async fn messages_pass_between_those_who_know_the_secret() {
+async fn messages_pass_between_processes_with_the_same_secret() {
     let (listener, address) = listener().await;
-    let (received, mut got) = mpsc::unbounded_channel();
+    let (received, mut messages_received) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.expect("a connection");
         let local = node(NodeRole::Agent, SECRET);
@@ -78,15 +77,15 @@
     let (outgoing, messages) = mpsc::unbounded_channel();
     tokio::spawn(run(socket, messages, |_: FromAgent| {}));
     outgoing.send(message()).expect("the session is open");
-    let came = tokio::time::timeout(BOUND, got.recv()).await;
-    assert!(matches!(came, Ok(Some(_))));
+    let result = tokio::time::timeout(TEST_TIMEOUT, messages_received.recv()).await;
+    assert!(matches!(result, Ok(Some(_))));
 }
 
 #[rstest]
 #[case::wrong_secret(NodeRole::Gateway, b"another secret, just as long")]
 #[case::wrong_role(NodeRole::Agent, SECRET)]
 #[tokio::test]
-async fn a_stranger_is_refused(#[case] role: NodeRole, #[case] secret: &'static [u8]) {
+async fn a_wrong_secret_or_role_is_rejected(#[case] role: NodeRole, #[case] secret: &'static [u8]) {
     let (listener, address) = listener().await;
     let accepting = tokio::spawn(accept_one(listener));
     let dialed = dial(address, None, &node(role, secret), NodeRole::Agent).await;
@@ -102,11 +101,11 @@
 }
 
 #[rstest]
-#[case::garbled(vec![0xff; 64])]
+#[case::malformed(vec![0xff; 64])]
 #[case::empty(Vec::new())]
 #[case::oversized(vec![0; MAX_MESSAGE_BYTES + 1])]
 #[tokio::test]
-async fn a_bad_first_frame_is_refused(#[case] frame: Vec<u8>) {
+async fn a_malformed_first_frame_is_rejected(#[case] frame: Vec<u8>) {
     let (listener, address) = listener().await;
     let accepting = tokio::spawn(accept_one(listener));
     let stream = TcpStream::connect(address).await.expect("it listens");
@@ -116,13 +115,13 @@
     let _ = socket.send(Message::binary(frame)).await;
     let error = accepting.await.expect("the task ends");
     assert!(
-        matches!(error, WireError::Garbled(_) | WireError::Websocket(_)),
+        matches!(error, WireError::Malformed(_) | WireError::Websocket(_)),
         "{error:?}"
     );
 }
 
 #[tokio::test]
-async fn a_garbled_frame_ends_an_open_session() {
+async fn a_malformed_frame_ends_an_open_session() {
     let (listener, address) = listener().await;
     let accepting = tokio::spawn(accept_one(listener));
     let local = node(NodeRole::Gateway, SECRET);
@@ -134,11 +133,11 @@
         .await
         .expect("it is sent");
     let error = accepting.await.expect("the task ends");
-    assert!(matches!(error, WireError::Garbled(_)), "{error:?}");
+    assert!(matches!(error, WireError::Malformed(_)), "{error:?}");
 }
 
-/// A listener that takes no connection in: its queue is full, and further opening
-/// packets are dropped, as by a machine without power.
+/// A listener whose backlog is full: the system drops further connection requests, as if the
+/// machine had no power.
 fn silent_listener() -> (socket2::Socket, Vec<socket2::Socket>, SocketAddr) {
     let new = || {
         let socket = socket2::Socket::new(
@@ -163,15 +162,15 @@
     (listener, fillers, address.as_socket().expect("an address"))
 }
 
-/// Found after a loss of power of all machines: agents that were back first waited
-/// 600 ms for gateways that were not, and only then dialed them again.
+/// Dials to machines without power must fail soon, so that agents redial quickly after a power
+/// loss.
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_says_nothing_is_given_up_soon() {
+async fn a_dial_to_a_silent_machine_times_out() {
     let (_listener, _fillers, address) = silent_listener();
     let local = node(NodeRole::Agent, SECRET);
-    let began = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let dialed = dial(address, None, &local, NodeRole::Gateway).await;
     assert!(matches!(dialed, Err(WireError::Timeout)));
-    // The clock is the test's own: it moves only from timer to timer.
-    assert!(began.elapsed() <= CONNECT_TIMEOUT + Duration::from_millis(1));
+    // Time is paused and advances from timer to timer.
+    assert!(started.elapsed() <= CONNECT_TIMEOUT + Duration::from_millis(1));
 }
