--- a/laurelstile-types/src/configuration.rs
+++ b/laurelstile-types/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration file: pools of back ends, services with their task
-//! classes, tenants with quotas. It is checked and applied as a whole.
+//! The configuration file: pools of back ends, services with their task classes, and tenants with
+//! quotas. A file is validated and applied as a whole.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,13 @@
 
 use crate::id::{BackendName, ClassName, PoolName, RackName, ServiceName, TenantName, ZoneName};
 
-/// The version of the file format that this build reads.
+/// Version of the file format that this build supports.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Longest deadline that a class may have, in milliseconds.
+/// Maximum deadline of a class, in milliseconds.
 pub const MAX_DEADLINE_MILLIS: u64 = 600_000;
 
-/// A whole configuration file.
+/// A configuration file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
@@ -23,9 +23,9 @@
     pub version: u32,
     /// Pools of back ends.
     pub pools: Vec<Pool>,
-    /// Services that callers may name.
+    /// Services to which callers may submit jobs.
     pub services: Vec<Service>,
-    /// Tenants that callers may name.
+    /// Tenants for which callers may submit jobs.
     pub tenants: Vec<Tenant>,
 }
 
@@ -35,14 +35,14 @@
 pub struct Pool {
     /// Name of the pool.
     pub name: PoolName,
-    /// Most tasks that may wait in the pool's queue.
+    /// Maximum number of tasks in the pool's queue.
     #[serde(default = "default_max_queued_tasks")]
     pub max_queued_tasks: u32,
-    /// Its back ends.
+    /// Back ends of the pool.
     pub backends: Vec<Backend>,
 }
 
-/// A back end and the agent beside it.
+/// A back end and its agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
@@ -50,11 +50,11 @@
     pub name: BackendName,
     /// Address of its agent, `IP:port`.
     pub agent: std::net::SocketAddr,
-    /// Its zone.
+    /// Zone of the back end.
     pub zone: ZoneName,
-    /// Its rack.
+    /// Rack of the back end.
     pub rack: RackName,
-    /// How many tasks it runs at once.
+    /// Number of tasks that it runs at once.
     pub slots: u32,
 }
 
@@ -64,27 +64,27 @@
 pub struct Service {
     /// Name of the service.
     pub name: ServiceName,
-    /// Pool that runs its tasks.
+    /// Name of the pool that runs its tasks.
     pub pool: PoolName,
-    /// Most tasks in one job.
+    /// Maximum number of tasks in one job.
     #[serde(default = "default_max_tasks_per_job")]
     pub max_tasks_per_job: u32,
-    /// Its task classes.
+    /// Task classes of the service.
     pub classes: Vec<Class>,
 }
 
-/// A class of tasks with like behaviour.
+/// A class of tasks with similar run times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Name of the class.
     pub name: ClassName,
-    /// Mean run time of a task before any was measured, in milliseconds.
+    /// Estimated mean run time of a task, in milliseconds; used until run times have been measured.
     pub expected_millis: u64,
-    /// Longest time from submission to answer, in milliseconds.
+    /// Maximum time from submission to answer, in milliseconds.
     pub deadline_millis: u64,
-    /// Whether a request may be run again. If not, its caller must send an
-    /// idempotency key, which is claimed in the platform's table.
+    /// Whether tasks may be run again. If not, callers must send an idempotency key, which is
+    /// claimed in the platform's table.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
 }
@@ -95,12 +95,12 @@
 pub struct Tenant {
     /// Name of the tenant.
     pub name: TenantName,
-    /// Weight of its jobs in the order of the queue.
+    /// Weight of the tenant's jobs in the order of the queue.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most slots that its tasks may hold at once in each pool.
+    /// Maximum number of slots that the tenant's tasks hold at once in each pool.
     pub quota_slots: u32,
-    /// Most tasks that it may have waiting in each pool.
+    /// Maximum number of the tenant's tasks in each pool's queue.
     #[serde(default = "default_max_queued_tasks")]
     pub max_queued_tasks: u32,
 }
@@ -121,13 +121,13 @@
     1
 }
 
-/// What is wrong with a configuration that is well-formed JSON.
+/// Why a well-formed configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// The file was written for another version of the format.
+    /// The file has another version of the format.
     #[error("version {found} of the format is not supported, expected {FORMAT_VERSION}")]
     Version {
-        /// Version that the file gives.
+        /// Version in the file.
         found: u32,
     },
     /// Two entries of the same kind have the same name.
@@ -135,43 +135,43 @@
     Duplicate {
         /// Path of the second entry.
         place: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// A name is empty or has characters outside `[a-zA-Z0-9._-]`.
+    /// A name is empty or contains characters outside `[a-zA-Z0-9._-]`.
     #[error("{place}: {name:?} is not a name (letters, digits, '.', '_' and '-')")]
     BadName {
         /// Path of the entry.
         place: String,
-        /// The name.
+        /// The invalid name.
         name: String,
     },
-    /// A service names a pool that is not there.
+    /// A service refers to a pool that does not exist.
     #[error("{place}: no pool is named {pool}")]
     UnknownPool {
         /// Path of the reference.
         place: String,
-        /// Name of the pool.
+        /// Name of the missing pool.
         pool: PoolName,
     },
-    /// A number lies outside its range.
+    /// A number is out of range.
     #[error("{place}: {value} is not in {least}..={most}")]
     Range {
         /// Path of the number.
         place: String,
-        /// The number.
+        /// The invalid number.
         value: u64,
-        /// Least allowed value.
+        /// Minimum.
         least: u64,
-        /// Greatest allowed value.
+        /// Maximum.
         most: u64,
     },
-    /// A tenant's quota is larger than the largest pool.
+    /// A tenant's quota exceeds the largest pool.
     #[error("{place}: a quota of {quota} slots exceeds the largest pool, which has {capacity}")]
     QuotaOverCapacity {
         /// Path of the quota.
         place: String,
-        /// The quota.
+        /// The quota, in slots.
         quota: u32,
         /// Slots of the largest pool.
         capacity: u32,
@@ -179,11 +179,11 @@
 }
 
 impl Configuration {
-    /// Checks everything that the types alone do not: the version, names,
-    /// ranges, references, and quotas against capacity.
+    /// Validates what the types do not: the version, names, ranges, references, and quotas against
+    /// the pools.
     ///
     /// # Errors
-    /// The first fault found, with its place.
+    /// The first error found, with the path of its entry.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         if self.version != FORMAT_VERSION {
             return Err(ConfigurationError::Version {
@@ -195,22 +195,22 @@
         self.check_tenants()
     }
 
-    /// The service of that name.
+    /// The service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// The tenant of that name.
+    /// The tenant with this name.
     pub fn tenant(&self, name: &TenantName) -> Option<&Tenant> {
         self.tenants.iter().find(|tenant| tenant.name == *name)
     }
 
-    /// The pool of that name.
+    /// The pool with this name.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// Every back end of every pool.
+    /// The back ends of all pools.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.pools.iter().flat_map(|pool| &pool.backends)
     }
@@ -300,20 +300,20 @@
 }
 
 impl Pool {
-    /// Slots of all its back ends.
+    /// Total slots of the pool's back ends.
     pub fn slots(&self) -> u32 {
         self.backends.iter().map(|backend| backend.slots).sum()
     }
 }
 
 impl Service {
-    /// The class of that name.
+    /// The class with this name.
     pub fn class(&self, name: &ClassName) -> Option<&Class> {
         self.classes.iter().find(|class| class.name == *name)
     }
 }
 
-/// Checks names of one kind: well-formed, and none twice.
+/// Checks that the names of one kind are well-formed and unique.
 #[derive(Default)]
 struct NameCheck<'a> {
     seen: BTreeSet<&'a str>,
--- a/laurelstile-types/src/id.rs
+++ b/laurelstile-types/src/id.rs
@@ -5,7 +5,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Declares a newtype over `String` for a name that people choose.
+/// Declares a newtype over `String` for a name chosen by people or tools.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -41,7 +41,7 @@
     GatewayName
 }
 name_type! {
-    /// Name of a back end; its agent goes by the same name.
+    /// Name of a back end and of its agent.
     BackendName
 }
 name_type! {
@@ -69,15 +69,15 @@
     RackName
 }
 name_type! {
-    /// Key that a caller chooses for a request that must run at most once.
+    /// Key chosen by a caller for a request that must run at most once.
     IdempotencyKey
 }
 name_type! {
-    /// Identifier that an operator tool draws for one configuration change.
+    /// Identifier chosen by an operator's tool for one configuration change.
     ChangeId
 }
 
-/// One life of one process: drawn at random when the process starts.
+/// One start of a process: a number drawn at random when the process starts.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -90,7 +90,7 @@
     }
 }
 
-/// A submitted job: the incarnation of its entry gateway and a number in it.
+/// Id of a submitted job: the incarnation of its entry gateway, and a number within it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
@@ -110,10 +110,10 @@
 /// Index of a task within its submission.
 pub type TaskIndex = u32;
 
-/// Number of a delegation of a submission; it grows by one at each recovery.
+/// Number of a delegation of a submission; incremented at each recovery.
 pub type DelegationNumber = u32;
 
-/// One dispatch of one task under one delegation.
+/// Id of the dispatch of one task under one delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DispatchId {
     /// The submission that the task belongs to.
--- a/laurelstile-types/src/outcome.rs
+++ b/laurelstile-types/src/outcome.rs
@@ -1,24 +1,24 @@
-//! How a submission can end.
+//! Outcomes of submissions without results.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Whether any task of a submission that got no answer may have run.
+/// Whether any task of a submission that failed may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// Proved: no task of the submission was started or ever will be.
+    /// No task of the submission was started or ever will be.
     NotRun,
-    /// Some task was started, or it cannot be ruled out.
+    /// A task was started, or that cannot be ruled out.
     MayHaveRun,
 }
 
-/// Why a submission was refused or failed.
+/// Why a submission was rejected or failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The request could not be read.
+    /// The request could not be parsed.
     #[error("the request could not be read")]
     BadRequest,
     /// The named service is not configured.
@@ -30,7 +30,7 @@
     /// The named tenant is not configured.
     #[error("the tenant is not configured")]
     UnknownTenant,
-    /// The job has no task or more tasks than the service admits.
+    /// The job has no tasks, or more than the service admits.
     #[error("the job has no task, or more than the service admits")]
     JobSize,
     /// A class that is not repeatable needs an idempotency key.
@@ -48,25 +48,25 @@
     /// The gateway has no configuration yet.
     #[error("this gateway has no configuration yet")]
     NoConfiguration,
-    /// The service is stopped by an operator.
+    /// An operator has stopped the service.
     #[error("the service is stopped")]
     ServiceStopped,
-    /// The queue is full.
+    /// The queue of the service's pool is full.
     #[error("the queue is full")]
     Overloaded,
     /// The tenant has too many queued tasks.
     #[error("the tenant has too many queued tasks")]
     TenantOverQuota,
-    /// The backlog makes the deadline unreachable.
+    /// The job would not complete before its deadline, given the backlog.
     #[error("the backlog makes the deadline unreachable")]
     DeadlineUnreachable,
-    /// The deadline passed.
+    /// The deadline passed before the job completed.
     #[error("the deadline passed")]
     DeadlineExceeded,
     /// The back end answered a task with an error.
     #[error("the back end answered a task with an error")]
     TaskFailed,
-    /// An agent vanished while it may have had tasks of the submission.
+    /// An agent was lost that may have had tasks of the submission.
     #[error("a worker was lost while it may have had tasks of the job")]
     WorkerLost,
     /// The caller's connection closed before the answer.
@@ -75,7 +75,7 @@
 }
 
 impl Reason {
-    /// Whether the same request may succeed when it is sent again later.
+    /// Whether the same request may succeed later.
     pub fn is_temporary(self) -> bool {
         matches!(
             self,
@@ -89,19 +89,19 @@
     }
 }
 
-/// Why a submission got no answer.
+/// The outcome of a submission without results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Failure {
-    /// Whether it may have run.
+    /// Whether any task of the submission may have run.
     pub run_state: RunState,
-    /// Why.
+    /// Why there are no results.
     pub reason: Reason,
-    /// When the caller may come back, in milliseconds, where it may.
+    /// When to retry, in milliseconds; `None` if no time is suggested.
     pub retry_after_millis: Option<u64>,
 }
 
 impl Failure {
-    /// A failure of a submission of which nothing was started.
+    /// A failure before any task was started.
     pub fn not_run(reason: Reason) -> Self {
         Self {
             run_state: RunState::NotRun,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A failure of a submission of which something may have been started.
+    /// A failure after a task may have been started.
     pub fn may_have_run(reason: Reason) -> Self {
         Self {
             run_state: RunState::MayHaveRun,
@@ -120,5 +120,5 @@
     }
 }
 
-/// When a caller may come back if the backlog gives no better estimate.
+/// Default retry delay, used if the backlog gives no better estimate.
 pub const DEFAULT_RETRY_AFTER_MILLIS: u64 = 1_000;
--- a/laurelstile-types/src/revision.rs
+++ b/laurelstile-types/src/revision.rs
@@ -1,5 +1,5 @@
-//! Revisions of the configuration: every apply, drain and planned stop of a
-//! service is one entry of one log, so that none can race another.
+//! Revisions of the configuration. Every apply, drain and stop of a service is one entry of a
+//! single log, which orders concurrent changes.
 
 use std::collections::BTreeSet;
 
@@ -12,38 +12,38 @@
 /// Number of a revision; the first is 1, 0 means none.
 pub type RevisionNumber = u64;
 
-/// What an operator asked for.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
     /// Apply a whole configuration file.
     Apply(Configuration),
-    /// Drain a back end.
+    /// Drain a back end: it gets no new work.
     Drain(BackendName),
-    /// Stop a service.
+    /// Stop a service: it accepts no new submissions.
     Stop(ServiceName),
 }
 
-/// The whole operational state that a revision puts in force.
+/// The operational state that a revision puts in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Revision {
     /// Number of the revision.
     pub number: RevisionNumber,
-    /// Identifier of the change that made it.
+    /// Identifier of the change that created the revision.
     pub change: ChangeId,
     /// The configuration in force.
     pub configuration: Configuration,
-    /// Back ends that get no new work. A drain lasts until a file is applied
-    /// that no longer names the back end.
+    /// Back ends that get no new work. A drain lasts until a file is applied that does not name the
+    /// back end.
     pub drained: BTreeSet<BackendName>,
-    /// Services that take no new submissions. A stop lasts until a file is
-    /// applied that no longer names the service.
+    /// Services that accept no new submissions. A stop lasts until a file is applied that does not
+    /// name the service.
     pub stopped: BTreeSet<ServiceName>,
 }
 
 impl Revision {
-    /// The revision that follows `previous` by `change`. `None` where the
-    /// change names something that is not configured.
+    /// The revision that results from applying `change` to `previous`. `None` if the change refers
+    /// to a back end or service that is not configured.
     pub fn following(previous: Option<&Self>, id: ChangeId, change: Change) -> Option<Self> {
         let number = previous.map_or(1, |revision| revision.number + 1);
         let mut next = match (previous, change) {
@@ -57,7 +57,7 @@
             (Some(previous), Change::Drain(backend)) => {
                 let mut next = previous.clone();
                 next.drained.insert(backend.clone());
-                next.names_backend(&backend).then_some(next)?
+                next.has_backend(&backend).then_some(next)?
             }
             (Some(previous), Change::Stop(service)) => {
                 let mut next = previous.clone();
@@ -71,17 +71,17 @@
         };
         next.number = number;
         next.change = id;
-        next.forget_unnamed();
+        next.drop_unconfigured();
         Some(next)
     }
 
-    fn names_backend(&self, name: &BackendName) -> bool {
+    fn has_backend(&self, name: &BackendName) -> bool {
         self.configuration
             .backends()
             .any(|backend| backend.name == *name)
     }
 
-    fn forget_unnamed(&mut self) {
+    fn drop_unconfigured(&mut self) {
         let configuration = &self.configuration;
         self.drained.retain(|name| {
             configuration
