--- a/laurelstile-core/src/leased/membership/mod.rs
+++ b/laurelstile-core/src/leased/membership/mod.rs
@@ -64,7 +64,7 @@
     subscribers: Subscribers,
     peers: BTreeMap<SessionId, Peer>,
     /// Whether neighbors have to be selected again.
-    is_stale: bool,
+    needs_selection: bool,
     selected_at: Option<Timestamp>,
     /// When the next unwanted session reaches the age at which it is closed.
     close_due_at: Option<Timestamp>,
@@ -116,7 +116,7 @@
             neighbors: Neighbors::default(),
             anti_entropy: AntiEntropy::default(),
             peers: BTreeMap::new(),
-            is_stale: false,
+            needs_selection: false,
             selected_at: None,
             close_due_at: None,
             view: None,
@@ -161,7 +161,7 @@
             self.directory.on_session_opened(session, &member);
             peer.member = Some(member);
         }
-        self.is_stale = true;
+        self.needs_selection = true;
         if directory.is_some() {
             return None;
         }
@@ -177,7 +177,7 @@
         self.peers.remove(&session);
         self.anti_entropy.on_closed(session);
         self.directory.on_session_closed(now, session);
-        self.is_stale = true;
+        self.needs_selection = true;
     }
 
     /// A peer sent the hash of its directory.
@@ -234,7 +234,7 @@
             let (added, removed) = self.directory.take_changes();
             self.subscribers.on_added(&added);
             self.subscribers.on_removed(&removed, &self.directory);
-            self.is_stale = true;
+            self.needs_selection = true;
         }
         if self.selection_due_at().is_some_and(|at| now >= at) {
             self.select_neighbors(now, &mut effects);
@@ -268,9 +268,9 @@
     /// When neighbors have to be selected next.
     fn selection_due_at(&self) -> Option<Timestamp> {
         let Some(selected_at) = self.selected_at else {
-            return self.is_stale.then(Timestamp::default);
+            return self.needs_selection.then(Timestamp::default);
         };
-        if self.is_stale {
+        if self.needs_selection {
             return Some(selected_at.after(SELECTION_INTERVAL));
         }
         let review = self.neighbors.due_at().map(|silent| {
@@ -281,7 +281,7 @@
     }
 
     fn select_neighbors(&mut self, now: Timestamp, effects: &mut Vec<MembershipEffect>) {
-        self.is_stale = false;
+        self.needs_selection = false;
         self.selected_at = Some(now);
         self.close_due_at = None;
         let connected = self.peers.values().filter_map(|peer| peer.member.clone());
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -478,7 +478,7 @@
     /// Members that the receiver may not know. See [`ToPeer::Digest`].
     Members(Vec<Member>),
     /// The evacuated zones, as the sender knows them. May arrive as late as evacuations may take
-    /// effect. If it is lost, each gateway reads the store itself, and agents hear of the zones
+    /// effect. If it is lost, each gateway reads the store, and agents are notified
     /// from any of their gateways.
     Evacuations(Evacuations),
     /// Crashes of workers with the tasks that ran there. Should arrive before the caller resubmits
@@ -497,7 +497,7 @@
         task: TaskId,
     },
     /// Version of the configuration in force at the sender. May arrive as late as configuration
-    /// changes may take effect. If it is lost, each gateway reads the store itself.
+    /// changes may take effect. If it is lost, each gateway reads the store.
     InForce(u64),
     /// Requests the receiver's configuration: the sender has an older version.
     ConfigurationWanted,
--- a/laurelstile-core/tests/leased_configuration.rs
+++ b/laurelstile-core/tests/leased_configuration.rs
@@ -42,8 +42,8 @@
     rig.event(at(100), GatewayEvent::Configuration(configuration(2)));
     assert_eq!(sent_configurations(&rig), 0);
     let versions = rig.to_peers.iter();
-    let told = versions.filter(|(_, message)| matches!(message, ToPeer::InForce(2)));
-    assert_eq!(told.count(), 54);
+    let notified = versions.filter(|(_, message)| matches!(message, ToPeer::InForce(2)));
+    assert_eq!(notified.count(), 54);
 }
 
 #[test]
--- a/laurelstile-core/tests/leased_members.rs
+++ b/laurelstile-core/tests/leased_members.rs
@@ -16,7 +16,7 @@
 const AGENT: u64 = 1;
 
 fn other(number: u64) -> Member {
-    let port = u16::try_from(100 + number).expect("few gateways");
+    let port = u16::try_from(100 + number).expect("number too large");
     Member {
         name: format!("other-{number}"),
         address: ([127, 0, 0, 1], port).into(),
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -23,7 +23,11 @@
 fn member(number: usize) -> Member {
     Member {
         name: format!("gateway-{number}"),
-        address: ([127, 0, 0, 1], u16::try_from(number + 1).expect("few")).into(),
+        address: (
+            [127, 0, 0, 1],
+            u16::try_from(number + 1).expect("number too large"),
+        )
+            .into(),
         zone: ZONES[number % ZONES.len()].into(),
     }
 }
@@ -85,7 +89,7 @@
     }
 
     fn close(&mut self, now: Timestamp, session: SessionId) {
-        let ends = self.sessions[usize::try_from(session.0).expect("few")].take();
+        let ends = self.sessions[usize::try_from(session.0).expect("number too large")].take();
         for gateway in ends.into_iter().flat_map(|(one, other)| [one, other]) {
             self.event(now, gateway, GatewayEvent::PeerClosed { session });
         }
@@ -109,7 +113,7 @@
         for effect in effects {
             match effect {
                 GatewayEffect::ToPeer { session, message } => {
-                    let index = usize::try_from(session.0).expect("few");
+                    let index = usize::try_from(session.0).expect("number too large");
                     let Some((one, other)) = self.sessions[index] else {
                         continue;
                     };
@@ -152,7 +156,10 @@
             open.filter(|(one, other)| *one == gateway || *other == gateway)
                 .count()
         };
-        (0..self.gateways.len()).map(count).max().expect("some")
+        (0..self.gateways.len())
+            .map(count)
+            .max()
+            .expect("no gateways")
     }
 
     fn known_count(&self, gateway: usize) -> usize {
@@ -161,10 +168,10 @@
 
     /// Number of gateways, except `first`, that received the cancellation of a job.
     fn count_cancelled(&self, first: usize, job: JobId) -> usize {
-        let told = self.delivered.iter().filter(
+        let sent = self.delivered.iter().filter(
             |(_, _, message)| matches!(message, ToPeer::Cancelled(jobs) if jobs.contains(&job)),
         );
-        let receivers = told.map(|(_, to, _)| *to).filter(|to| *to != first);
+        let receivers = sent.map(|(_, to, _)| *to).filter(|to| *to != first);
         let mut receivers: Vec<usize> = receivers.collect();
         receivers.sort_unstable();
         receivers.dedup();
@@ -281,9 +288,9 @@
     let is_old =
         |message: &ToPeer| !matches!(message, ToPeer::Digest(_) | ToPeer::MembersWanted(_));
     assert!(rig.to_peers.iter().all(|(_, message)| is_old(message)));
-    let told = rig.to_peers.iter();
-    let told = told.filter(|(_, message)| matches!(message, ToPeer::Members(_)));
-    assert_eq!(told.count(), 1);
+    let sent = rig.to_peers.iter();
+    let sent = sent.filter(|(_, message)| matches!(message, ToPeer::Members(_)));
+    assert_eq!(sent.count(), 1);
 }
 
 /// An older version decodes an introduction as a member.
@@ -291,12 +298,12 @@
 fn introductions_are_compatible_with_older_versions() {
     let introduction = Introduction::new(&member(1), Digest::default());
     let mut bytes = Vec::new();
-    ciborium::into_writer(&introduction, &mut bytes).expect("it is written");
-    let read: Member = ciborium::from_reader(bytes.as_slice()).expect("it is read");
+    ciborium::into_writer(&introduction, &mut bytes).expect("encoding failed");
+    let read: Member = ciborium::from_reader(bytes.as_slice()).expect("decoding failed");
     assert_eq!(read, member(1));
     bytes.clear();
-    ciborium::into_writer(&member(1), &mut bytes).expect("it is written");
-    let read: Introduction = ciborium::from_reader(bytes.as_slice()).expect("it is read");
+    ciborium::into_writer(&member(1), &mut bytes).expect("encoding failed");
+    let read: Introduction = ciborium::from_reader(bytes.as_slice()).expect("decoding failed");
     assert_eq!(read.directory, None);
 }
 
@@ -408,12 +415,12 @@
     let message = ToPeer::Members((1..40).map(member).collect());
     rig.peer_message(at(2), session, message);
     rig.join(at(10), 1, "agent-1", cpu(1_000));
-    let told = rig.members.pop().expect("no members were sent").1;
-    assert!(told.len() <= 30, "{}", told.len());
+    let sent = rig.members.pop().expect("no members were sent").1;
+    assert!(sent.len() <= 30, "{}", sent.len());
 
     let mut subset =
         laurelstile_core::leased::membership::subset::Subset::new("agent-1".into(), "here".into());
-    subset.add_members(told);
+    subset.add_members(sent);
     let first = subset.first_message(at(20));
     let Some(CandidateSummary { zone, .. }) = &first.candidates else {
         panic!("the first message has no summary");
@@ -475,8 +482,8 @@
         let message = ToPeer::Crashes(vec![crash.clone()]);
         rig.peer_message(at(millis), session, message);
     }
-    let told = rig.to_peers.iter();
-    let told = told.filter(|(_, message)| matches!(message, ToPeer::Crashes(_)));
-    let told: Vec<u64> = told.map(|(session, _)| session.0).collect();
-    assert_eq!(told, [50, 52]);
+    let sent = rig.to_peers.iter();
+    let sent = sent.filter(|(_, message)| matches!(message, ToPeer::Crashes(_)));
+    let sent: Vec<u64> = sent.map(|(session, _)| session.0).collect();
+    assert_eq!(sent, [50, 52]);
 }
--- a/laurelstile-core/tests/leased_messages.rs
+++ b/laurelstile-core/tests/leased_messages.rs
@@ -20,12 +20,12 @@
 
 fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("a vector takes every byte");
+    ciborium::into_writer(message, &mut bytes).expect("encoding failed");
     bytes
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> T {
-    ciborium::from_reader(bytes).expect("what was encoded can be decoded")
+    ciborium::from_reader(bytes).expect("decoding failed")
 }
 
 fn resources(cpu_millis: u32) -> Resources {
--- a/laurelstile-core/tests/leased_subset.rs
+++ b/laurelstile-core/tests/leased_subset.rs
@@ -14,7 +14,7 @@
 }
 
 fn gateway(number: usize) -> Member {
-    let port = u16::try_from(number + 1).expect("few gateways");
+    let port = u16::try_from(number + 1).expect("number too large");
     Member {
         name: format!("gateway-{number}"),
         address: ([127, 0, 0, 1], port).into(),
@@ -67,8 +67,8 @@
     }
     assert_eq!(sessions.len(), gateways, "no gateway is left out");
     let mean = agents * 16 / gateways;
-    let least = sessions.values().min().expect("there are gateways");
-    let most = sessions.values().max().expect("there are gateways");
+    let least = sessions.values().min().expect("no sessions");
+    let most = sessions.values().max().expect("no sessions");
     assert!(*least * 2 > mean, "{least} of {mean}");
     assert!(*most < mean * 2, "{most} of {mean}");
 }
@@ -131,13 +131,13 @@
     let substitutes = after.difference(&before).count();
     assert!(
         substitutes >= 10,
-        "for each that it had, one of another zone"
+        "each lost gateway has a substitute in another zone"
     );
     for address in (0..55).step_by(5).map(|number| gateway(number).address) {
         subset.forget(address);
     }
     let gone = names(&mut subset, at(1_000));
-    assert_eq!(gone.len(), 16, "all of them in other zones");
+    assert_eq!(gone.len(), 16, "all sessions are to other zones");
 }
 
 #[test]
@@ -167,7 +167,7 @@
     let mut subset = Subset::new("agent".into(), "a".into());
     subset.set_connected("a seed", true);
     let wanted = subset.wanted(at(0));
-    assert!(!subset.is_settled(&wanted), "the seeds are all there is");
+    assert!(!subset.is_settled(&wanted), "no gateway is listed yet");
 }
 
 #[test]
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -103,7 +103,7 @@
                         }
                         ToAgentBody::Decline(offers) => self.declined.extend(offers),
                         ToAgentBody::Members(members) => self.members.push((session, members)),
-                        ToAgentBody::Evacuations(news) => self.evacuations.push((session, news)),
+                        ToAgentBody::Evacuations(zones) => self.evacuations.push((session, zones)),
                         ToAgentBody::Predecessor { silence } => {
                             self.predecessors.push((session, silence));
                         }
--- a/laurelstile-types/tests/configuration.rs
+++ b/laurelstile-types/tests/configuration.rs
@@ -50,7 +50,7 @@
     #[case] place: &str,
 ) {
     let mut file = valid();
-    *file.pointer_mut(pointer).expect("the field is there") = value;
+    *file.pointer_mut(pointer).expect("no such field") = value;
     let error: ConfigurationError = parse(file)
         .check()
         .expect_err("the configuration was accepted");
@@ -62,9 +62,9 @@
     let mut file = valid();
     file["pools"][0]["backends"][0]["slotz"] = json!(1);
     let path = std::env::temp_dir().join(format!("laurelstile-{}.json", std::process::id()));
-    std::fs::write(&path, file.to_string()).expect("the file can be written");
+    std::fs::write(&path, file.to_string()).expect("cannot write the file");
     let error = read_json_file::<Configuration>(&path).expect_err("the field is unknown");
-    std::fs::remove_file(&path).expect("the file can be removed");
+    std::fs::remove_file(&path).expect("cannot remove the file");
     assert!(matches!(error, JsonFileError::Shape { .. }));
     let text = error.to_string();
     assert!(text.contains("pools[0].backends[0]"), "{text}");
@@ -79,12 +79,14 @@
 #[test]
 fn drains_and_stops_last_until_a_file_omits_their_target() {
     let apply = |value| Change::Apply(parse(value));
-    let first = Revision::following(None, id("a"), apply(valid())).expect("it applies");
+    let first =
+        Revision::following(None, id("a"), apply(valid())).expect("the change was rejected");
     let drained = Revision::following(Some(&first), id("b"), Change::Drain("w1".into()))
-        .expect("w1 is configured");
+        .expect("the change was rejected");
     let stopped = Revision::following(Some(&drained), id("c"), Change::Stop("parcels".into()))
-        .expect("parcels is configured");
-    let again = Revision::following(Some(&stopped), id("d"), apply(valid())).expect("it applies");
+        .expect("the change was rejected");
+    let again = Revision::following(Some(&stopped), id("d"), apply(valid()))
+        .expect("the change was rejected");
     assert_eq!(again.number, 4);
     assert!(again.drained.contains(&"w1".into()));
     assert!(again.stopped.contains(&"parcels".into()));
@@ -92,11 +94,13 @@
     let mut without = valid();
     without["pools"][0]["backends"]
         .as_array_mut()
-        .expect("it is a list")
+        .expect("not a list")
         .remove(0);
-    let omitted = Revision::following(Some(&again), id("e"), apply(without)).expect("it applies");
+    let omitted = Revision::following(Some(&again), id("e"), apply(without))
+        .expect("the change was rejected");
     assert!(omitted.drained.is_empty());
-    let back = Revision::following(Some(&omitted), id("f"), apply(valid())).expect("it applies");
+    let back = Revision::following(Some(&omitted), id("f"), apply(valid()))
+        .expect("the change was rejected");
     assert!(back.drained.is_empty());
 }
 
--- a/laurelstile-wire/examples/session_cost.rs
+++ b/laurelstile-wire/examples/session_cost.rs
@@ -56,12 +56,15 @@
 async fn open(listener: &TcpListener, address: SocketAddr) -> (Socket, Socket) {
     let (one, other) = (node("one"), node("other"));
     let accepting = async {
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let (stream, _) = listener.accept().await.expect("accepting failed");
         session::accept(stream, &other, NodeRole::Gateway).await
     };
     let dialing = session::dial(address, None, &one, NodeRole::Gateway);
     let (dialed, accepted) = tokio::join!(dialing, accepting);
-    (dialed.expect("a session").0, accepted.expect("a session").0)
+    (
+        dialed.expect("the handshake failed").0,
+        accepted.expect("the handshake failed").0,
+    )
 }
 
 /// Sends `count` copies of a message over a session, and waits until all are received.
@@ -107,8 +110,8 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind");
+    let address = listener.local_addr().expect("no address");
     let before = processor_time();
     for _ in 0..HELLOS {
         open(&listener, address).await;
--- a/laurelstile-wire/tests/sessions.rs
+++ b/laurelstile-wire/tests/sessions.rs
@@ -28,14 +28,14 @@
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind");
+    let address = listener.local_addr().expect("no address");
     (listener, address)
 }
 
 /// Accepts one connection as an agent, and returns how its session ended.
 async fn accept_one(listener: TcpListener) -> WireError {
-    let (stream, _) = listener.accept().await.expect("a connection");
+    let (stream, _) = listener.accept().await.expect("accepting failed");
     let local = node(NodeRole::Agent, SECRET);
     match accept(stream, &local, NodeRole::Gateway).await {
         Ok((socket, _)) => {
@@ -58,11 +58,11 @@
     let (listener, address) = listener().await;
     let (received, mut messages_received) = mpsc::unbounded_channel();
     tokio::spawn(async move {
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let (stream, _) = listener.accept().await.expect("accepting failed");
         let local = node(NodeRole::Agent, SECRET);
         let (socket, remote) = accept(stream, &local, NodeRole::Gateway)
             .await
-            .expect("the secret is the same");
+            .expect("the handshake failed");
         assert_eq!(remote.incarnation, Incarnation(7));
         let (_outgoing, messages) = mpsc::unbounded_channel::<FromAgent>();
         run(socket, messages, |message: FromAgent| {
@@ -73,10 +73,10 @@
     let local = node(NodeRole::Gateway, SECRET);
     let (socket, _) = dial(address, None, &local, NodeRole::Agent)
         .await
-        .expect("the secret is the same");
+        .expect("the handshake failed");
     let (outgoing, messages) = mpsc::unbounded_channel();
     tokio::spawn(run(socket, messages, |_: FromAgent| {}));
-    outgoing.send(message()).expect("the session is open");
+    outgoing.send(message()).expect("the session is closed");
     let result = tokio::time::timeout(TEST_TIMEOUT, messages_received.recv()).await;
     assert!(matches!(result, Ok(Some(_))));
 }
@@ -90,7 +90,7 @@
     let accepting = tokio::spawn(accept_one(listener));
     let dialed = dial(address, None, &node(role, secret), NodeRole::Agent).await;
     assert!(dialed.is_err());
-    let error = accepting.await.expect("the task ends");
+    let error = accepting.await.expect("the task panicked");
     assert!(
         matches!(
             error,
@@ -108,12 +108,14 @@
 async fn a_malformed_first_frame_is_rejected(#[case] frame: Vec<u8>) {
     let (listener, address) = listener().await;
     let accepting = tokio::spawn(accept_one(listener));
-    let stream = TcpStream::connect(address).await.expect("it listens");
+    let stream = TcpStream::connect(address)
+        .await
+        .expect("connecting failed");
     let (mut socket, _) = tokio_tungstenite::client_async("ws://node/", stream)
         .await
-        .expect("it speaks websocket");
+        .expect("the websocket upgrade failed");
     let _ = socket.send(Message::binary(frame)).await;
-    let error = accepting.await.expect("the task ends");
+    let error = accepting.await.expect("the task panicked");
     assert!(
         matches!(error, WireError::Malformed(_) | WireError::Websocket(_)),
         "{error:?}"
@@ -127,12 +129,12 @@
     let local = node(NodeRole::Gateway, SECRET);
     let (mut socket, _) = dial(address, None, &local, NodeRole::Agent)
         .await
-        .expect("the secret is the same");
+        .expect("the handshake failed");
     socket
         .send(Message::binary(vec![0xff; 8]))
         .await
-        .expect("it is sent");
-    let error = accepting.await.expect("the task ends");
+        .expect("sending failed");
+    let error = accepting.await.expect("the task panicked");
     assert!(matches!(error, WireError::Malformed(_)), "{error:?}");
 }
 
@@ -145,21 +147,21 @@
             socket2::Type::STREAM,
             Some(socket2::Protocol::TCP),
         );
-        socket.expect("a socket")
+        socket.expect("no socket")
     };
     let listener = new();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    listener.bind(&any.into()).expect("a port");
-    listener.listen(0).expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    listener.bind(&any.into()).expect("cannot bind");
+    listener.listen(0).expect("cannot listen");
+    let address = listener.local_addr().expect("no address");
     let fillers = (0..4).map(|_| {
         let socket = new();
-        socket.set_nonblocking(true).expect("an option");
+        socket.set_nonblocking(true).expect("cannot set the option");
         let _ = socket.connect(&address);
         socket
     });
     let fillers = fillers.collect();
-    (listener, fillers, address.as_socket().expect("an address"))
+    (listener, fillers, address.as_socket().expect("no address"))
 }
 
 /// Dials to machines without power must fail soon, so that agents redial quickly after a power
