--- a/laurelstile-core/src/leased/input.rs
+++ b/laurelstile-core/src/leased/input.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 /// Shorter inputs are sent uncompressed: compression gains too little.
-const MIN_COMPRESSED_INPUT_BYTES: usize = 128;
+const COMPRESSION_THRESHOLD_BYTES: usize = 128;
 /// Maximum length of an input, in bytes. Checked during decompression, since a short message may
 /// expand to far more. Callers' request bodies have a lower limit of their own.
 pub const MAX_INPUT_BYTES: usize = 1024 * 1024;
@@ -137,7 +137,7 @@
 }
 
 fn compress(text: &str) -> Option<Vec<u8>> {
-    if text.len() < MIN_COMPRESSED_INPUT_BYTES {
+    if text.len() < COMPRESSION_THRESHOLD_BYTES {
         return None;
     }
     // The capacity bounds the output: compression fails unless it shortens the text.
@@ -171,7 +171,7 @@
                 // No input is left, and the stream has not ended.
                 return Err(InputError::Corrupt);
             }
-            bytes.reserve(bytes.len().max(MIN_COMPRESSED_INPUT_BYTES));
+            bytes.reserve(bytes.len().max(COMPRESSION_THRESHOLD_BYTES));
         }
     })
 }
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Selection {
     names: Vec<String>,
-    /// How many of them answer, as other_zones as is known.
+    /// How many of them answer, as far as is known.
     answering: usize,
 }
 
--- a/laurelstile-types/tests/configuration.rs
+++ b/laurelstile-types/tests/configuration.rs
@@ -63,7 +63,7 @@
     file["pools"][0]["backends"][0]["slotz"] = json!(1);
     let path = std::env::temp_dir().join(format!("laurelstile-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("cannot write the file");
-    let error = read_json_file::<Configuration>(&path).expect_err("the field is unknown");
+    let error = read_json_file::<Configuration>(&path).expect_err("the unknown field was accepted");
     std::fs::remove_file(&path).expect("cannot remove the file");
     assert!(matches!(error, JsonFileError::Shape { .. }));
     let text = error.to_string();
