--- a/laurelstile-core/src/leased/timing.rs
+++ b/laurelstile-core/src/leased/timing.rs
@@ -40,7 +40,7 @@
     Span::from_millis((OWNER_TIMEOUT.0 + MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0) / 1_000);
 /// Heartbeat interval of a session that has unresolved tasks or had some within [`BUSY_LINGER`].
 pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
-/// How long a session counts as busy after its last task.
+/// How long a session counts as busy after the last start that the gateway requested.
 pub const BUSY_LINGER: Span = Span::from_secs(3);
 /// Heartbeat interval of other sessions.
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
