--- a/laurelstile-core/src/leased/timing.rs
+++ b/laurelstile-core/src/leased/timing.rs
@@ -10,10 +10,8 @@
 //!
 //! | from | to | margin | used by |
 //! | --- | --- | --- | --- |
-//! | runs over, 1,165 ms | agent expiry, 1,265 ms | 100 ms | the worker's kill and its report of
-//! ends |
-//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: a caller's run starts
-//! even later |
+//! | runs over, 1,165 ms | agent expiry, 1,265 ms | 100 ms | kill, and report of ends |
+//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: runs start even later |
 //!
 //! `tests/leased_timing.rs` checks these inequalities.
 
