--- a/laurelstile-core/src/agent/mod.rs
+++ b/laurelstile-core/src/agent/mod.rs
@@ -18,20 +18,20 @@
 };
 use crate::payload::Payload;
 use crate::session::SessionId;
-use record::{Records, StartVerdict};
+use record::{Records, StartCheck};
 
 /// A start is refused if its sender last heard from the agent longer ago. This
 /// bounds how long a start on its way can be late for a back end that leaves.
-pub const START_FRESHNESS: Span = Span::from_millis(4_500);
+pub const MAX_START_ECHO_AGE: Span = Span::from_millis(4_500);
 /// A session from which nothing comes for this long is closed.
-pub const SESSION_SILENCE: Span = Span::from_secs(25);
+pub const SESSION_TIMEOUT: Span = Span::from_secs(25);
 /// Heartbeat interval towards a gateway with unresolved work.
-pub const BUSY_HEARTBEAT: Span = Span::from_millis(500);
+pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
 /// A gateway's heartbeat is answered unless something was sent to it within
 /// this time.
-pub const ANSWER_PAUSE: Span = Span::from_millis(400);
+pub const HEARTBEAT_REPLY_INTERVAL: Span = Span::from_millis(400);
 /// How long after joining its pool an agent reports as often as a busy one.
-pub const YOUTH: Span = Span::from_secs(5);
+pub const NEW_MEMBER_PERIOD: Span = Span::from_secs(5);
 /// How long a back end that refused a connection gets no start.
 pub const BACKEND_BACKOFF: Span = Span::from_millis(500);
 
@@ -117,12 +117,12 @@
 struct Link {
     gateway: Incarnation,
     processed: u64,
-    waiting: bool,
+    awaits_slot: bool,
     last_heard: Timestamp,
     last_sent: Timestamp,
     results: Vec<TaskResult>,
-    refused: Vec<NotStarted>,
-    offered: bool,
+    refusals: Vec<NotStarted>,
+    has_offer: bool,
 }
 
 /// What a start tells of its sender.
@@ -183,7 +183,7 @@
     }
 
     /// Submissions that the agent remembers.
-    pub fn remembered(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
@@ -224,7 +224,7 @@
     /// Reports the end of a planned stop: nothing runs, and no gateway may
     /// still ask for an output.
     fn report_stop(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        if self.stopping && !self.stop_reported && !self.records.are_needed(now) {
+        if self.stopping && !self.stop_reported && !self.records.has_unreleased_work(now) {
             self.stop_reported = true;
             effects.push(AgentEffect::Stopped);
         }
@@ -251,12 +251,12 @@
         let link = Link {
             gateway,
             processed: 0,
-            waiting: false,
+            awaits_slot: false,
             last_heard: now,
             last_sent: now,
             results: Vec::new(),
-            refused: Vec::new(),
-            offered: false,
+            refusals: Vec::new(),
+            has_offer: false,
         };
         self.links.insert(session, link);
         self.send(now, session, FromAgentBody::Heartbeat, effects);
@@ -283,9 +283,9 @@
             ToAgentBody::Heartbeat => self.answer_heartbeat(now, session, effects),
             ToAgentBody::Revision(revision) => {
                 let membership = Membership::of(&revision, &self.name);
-                self.adopt(now, membership, Some(revision), effects);
+                self.apply(now, membership, Some(revision), effects);
             }
-            ToAgentBody::Membership(membership) => self.adopt(now, membership, None, effects),
+            ToAgentBody::Membership(membership) => self.apply(now, membership, None, effects),
             ToAgentBody::Start(tasks) => {
                 let sender = Sender {
                     session,
@@ -315,14 +315,14 @@
         task: StartTask,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let refusal = self.refusal_of(now, sender, &task);
+        let refusal = self.check_start(now, sender, &task);
         let Some(link) = self.links.get_mut(&sender.session) else {
             return;
         };
         link.processed += 1;
         if let Some(reason) = refusal {
-            link.waiting |= reason == NotStartedReason::Full;
-            link.refused.push(NotStarted {
+            link.awaits_slot |= reason == NotStartedReason::Full;
+            link.refusals.push(NotStarted {
                 dispatch: task.dispatch,
                 reason,
             });
@@ -339,18 +339,18 @@
         });
     }
 
-    fn refusal_of(
+    fn check_start(
         &self,
         now: Timestamp,
         sender: Sender,
         task: &StartTask,
     ) -> Option<NotStartedReason> {
-        match self.records.verdict(task.dispatch) {
-            StartVerdict::Fenced => return Some(NotStartedReason::Fenced),
-            StartVerdict::Duplicate => return Some(NotStartedReason::Duplicate),
-            StartVerdict::New => {}
+        match self.records.check_start(task.dispatch) {
+            StartCheck::Fenced => return Some(NotStartedReason::Fenced),
+            StartCheck::Duplicate => return Some(NotStartedReason::Duplicate),
+            StartCheck::New => {}
         }
-        if now.since(sender.echo) > START_FRESHNESS {
+        if now.since(sender.echo) > MAX_START_ECHO_AGE {
             return Some(NotStartedReason::StaleSender);
         }
         if self.is_draining() {
@@ -376,9 +376,9 @@
         match end {
             RunEnd::NotStarted => {
                 self.backend_down_until = now.after(BACKEND_BACKOFF);
-                self.records.forget_task(dispatch);
+                self.records.remove_task(dispatch);
                 if let Some(link) = self.link_of(owner) {
-                    link.refused.push(NotStarted {
+                    link.refusals.push(NotStarted {
                         dispatch,
                         reason: NotStartedReason::BackendUnreachable,
                     });
@@ -398,7 +398,7 @@
     }
 
     /// Puts a newer revision in force; an older one is ignored.
-    fn adopt(
+    fn apply(
         &mut self,
         now: Timestamp,
         membership: Membership,
@@ -430,7 +430,7 @@
         let silent: Vec<SessionId> = self
             .links
             .iter()
-            .filter(|(_, link)| now.since(link.last_heard) > SESSION_SILENCE)
+            .filter(|(_, link)| now.since(link.last_heard) > SESSION_TIMEOUT)
             .map(|(session, _)| *session)
             .collect();
         for session in silent {
--- a/laurelstile-core/src/agent/outgoing.rs
+++ b/laurelstile-core/src/agent/outgoing.rs
@@ -2,7 +2,9 @@
 
 use laurelstile_types::time::Timestamp;
 
-use super::{ANSWER_PAUSE, Agent, AgentEffect, BUSY_HEARTBEAT, Link, YOUTH};
+use super::{
+    Agent, AgentEffect, BUSY_HEARTBEAT_INTERVAL, HEARTBEAT_REPLY_INTERVAL, Link, NEW_MEMBER_PERIOD,
+};
 use crate::messages::agent::{FromAgent, FromAgentBody, SlotReport};
 use crate::session::SessionId;
 
@@ -18,7 +20,7 @@
         let is_due = self
             .links
             .get(&session)
-            .is_some_and(|link| now.since(link.last_sent) >= ANSWER_PAUSE);
+            .is_some_and(|link| now.since(link.last_sent) >= HEARTBEAT_REPLY_INTERVAL);
         if is_due {
             self.send(now, session, FromAgentBody::Heartbeat, effects);
         }
@@ -27,12 +29,12 @@
     /// Sessions of gateways that wait for reports and got none lately.
     pub(super) fn heartbeats_due(&self, now: Timestamp) -> Vec<SessionId> {
         // Whether a young agent may take a job hangs on a fresh report.
-        let is_young = now.since(self.member_since) < YOUTH;
-        let is_busy =
-            |link: &Link| is_young || link.waiting || self.records.has_work_of(link.gateway);
+        let is_new = now.since(self.member_since) < NEW_MEMBER_PERIOD;
+        let busy =
+            |link: &Link| is_new || link.awaits_slot || self.records.has_running_for(link.gateway);
         self.links
             .iter()
-            .filter(|(_, link)| is_busy(link) && now.since(link.last_sent) >= BUSY_HEARTBEAT)
+            .filter(|(_, link)| busy(link) && now.since(link.last_sent) >= BUSY_HEARTBEAT_INTERVAL)
             .map(|(session, _)| *session)
             .collect()
     }
@@ -57,8 +59,8 @@
     }
 
     pub(super) fn report(&self, now: Timestamp, link: &Link) -> SlotReport {
-        let contested = self.links.values().any(|link| link.waiting);
-        let free = if contested && !link.offered {
+        let is_contested = self.links.values().any(|link| link.awaits_slot);
+        let free = if is_contested && !link.has_offer {
             0
         } else {
             self.free_slots(now)
@@ -76,18 +78,18 @@
     /// Where gateways wait for slots, offers the free ones to the gateway
     /// that has the fewest tasks here.
     pub(super) fn choose_offer(&mut self) {
-        if !self.links.values().any(|link| link.waiting) {
+        if !self.links.values().any(|link| link.awaits_slot) {
             return;
         }
         let records = &self.records;
         let chosen = self
             .links
             .iter()
-            .filter(|(_, link)| link.waiting)
-            .min_by_key(|(_, link)| records.work_of(link.gateway))
+            .filter(|(_, link)| link.awaits_slot)
+            .min_by_key(|(_, link)| records.running_for(link.gateway))
             .map(|(session, _)| *session);
         for (session, link) in &mut self.links {
-            link.offered = Some(*session) == chosen;
+            link.has_offer = Some(*session) == chosen;
         }
     }
 
@@ -102,14 +104,14 @@
             return;
         };
         let results = std::mem::take(&mut link.results);
-        let refused = std::mem::take(&mut link.refused);
-        let offer = link.waiting && link.offered && free > 0;
+        let refusals = std::mem::take(&mut link.refusals);
+        let offer = link.awaits_slot && link.has_offer && free > 0;
         if offer {
-            link.waiting = false;
+            link.awaits_slot = false;
         }
-        let quiet = results.is_empty() && refused.is_empty();
-        if !refused.is_empty() {
-            self.send(now, session, FromAgentBody::NotStarted(refused), effects);
+        let quiet = results.is_empty() && refusals.is_empty();
+        if !refusals.is_empty() {
+            self.send(now, session, FromAgentBody::NotStarted(refusals), effects);
         }
         if !results.is_empty() {
             self.send(now, session, FromAgentBody::Results(results), effects);
--- a/laurelstile-core/src/agent/record.rs
+++ b/laurelstile-core/src/agent/record.rs
@@ -7,21 +7,21 @@
 use laurelstile_types::id::{DelegationNumber, DispatchId, Incarnation, SubmissionId, TaskIndex};
 use laurelstile_types::time::{Span, Timestamp};
 
-use crate::messages::agent::{Fate, Fence, TaskOutcome};
+use crate::messages::agent::{DispatchStatus, Fence, TaskOutcome};
 
 /// How long a fence is kept. It outlasts every deadline, so that no start
 /// under an older delegation can come after it.
 pub const FENCE_LIFETIME: Span = Span::from_millis(MAX_DEADLINE_MILLIS + 120_000);
 /// How long a record without a fence is kept past its job's deadline. No
 /// gateway starts or recovers a task of the job so late.
-pub const RECORD_SLACK: Span = Span::from_secs(60);
+pub const RECORD_RETENTION: Span = Span::from_secs(60);
 
 /// Most bytes of outputs that are kept for gateways that may ask again.
-pub const KEPT_OUTPUT_BYTES: usize = 64 * 1024 * 1024;
+pub const MAX_RETAINED_OUTPUT_BYTES: usize = 64 * 1024 * 1024;
 
 /// Whether a dispatch may start, as far as the records tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartVerdict {
+pub enum StartCheck {
     /// It was not started before.
     New,
     /// Its delegation is too old, or the submission is over.
@@ -63,7 +63,7 @@
 pub struct Records {
     records: BTreeMap<SubmissionId, Record>,
     running: BTreeMap<Incarnation, u32>,
-    kept_bytes: usize,
+    retained_bytes: usize,
 }
 
 impl Records {
@@ -78,35 +78,35 @@
     }
 
     /// Running tasks whose results go to `gateway`.
-    pub fn work_of(&self, gateway: Incarnation) -> u32 {
+    pub fn running_for(&self, gateway: Incarnation) -> u32 {
         self.running.get(&gateway).copied().unwrap_or(0)
     }
 
     /// Whether tasks of `gateway` run.
-    pub fn has_work_of(&self, gateway: Incarnation) -> bool {
-        self.work_of(gateway) > 0
+    pub fn has_running_for(&self, gateway: Incarnation) -> bool {
+        self.running_for(gateway) > 0
     }
 
     /// Whether a task runs, or a gateway may still ask for an output.
-    pub fn are_needed(&self, now: Timestamp) -> bool {
+    pub fn has_unreleased_work(&self, now: Timestamp) -> bool {
         self.records.values().any(|record| {
-            let is_kept = !record.tasks.is_empty() && now < record.deadline;
-            is_kept || record.running() > 0
+            let is_retained = !record.tasks.is_empty() && now < record.deadline;
+            is_retained || record.running() > 0
         })
     }
 
     /// Whether `dispatch` may start.
-    pub fn verdict(&self, dispatch: DispatchId) -> StartVerdict {
+    pub fn check_start(&self, dispatch: DispatchId) -> StartCheck {
         let Some(record) = self.records.get(&dispatch.submission) else {
-            return StartVerdict::New;
+            return StartCheck::New;
         };
         if record.closed || dispatch.delegation < record.fence {
-            return StartVerdict::Fenced;
+            return StartCheck::Fenced;
         }
         if record.tasks.contains_key(&dispatch.task) {
-            return StartVerdict::Duplicate;
+            return StartCheck::Duplicate;
         }
-        StartVerdict::New
+        StartCheck::New
     }
 
     /// Notes that `dispatch` starts for `gateway`.
@@ -128,7 +128,7 @@
         };
         record.tasks.insert(dispatch.task, task);
         record.deadline = record.deadline.max(deadline);
-        record.expires = record.expires.max(deadline.after(RECORD_SLACK));
+        record.expires = record.expires.max(deadline.after(RECORD_RETENTION));
         *self.running.entry(gateway).or_default() += 1;
     }
 
@@ -154,45 +154,48 @@
         };
         let run = now.since(since);
         let size = output_size(&outcome);
-        let keep = self.kept_bytes + size <= KEPT_OUTPUT_BYTES;
-        let kept = if keep {
+        let fits = self.retained_bytes + size <= MAX_RETAINED_OUTPUT_BYTES;
+        let retained = if fits {
             outcome
         } else {
             TaskOutcome::OutputLost
         };
-        self.kept_bytes += output_size(&kept);
-        task.state = TaskState::Finished { run, outcome: kept };
-        one_less(&mut self.running, owner);
-        self.forget_released(dispatch.submission);
+        self.retained_bytes += output_size(&retained);
+        task.state = TaskState::Finished {
+            run,
+            outcome: retained,
+        };
+        decrement_running(&mut self.running, owner);
+        self.remove_released(dispatch.submission);
         run
     }
 
     /// Forgets a task that was never started after all.
-    pub fn forget_task(&mut self, dispatch: DispatchId) {
+    pub fn remove_task(&mut self, dispatch: DispatchId) {
         let Some(record) = self.records.get_mut(&dispatch.submission) else {
             return;
         };
         if let Some(task) = record.tasks.remove(&dispatch.task) {
-            one_less(&mut self.running, task.owner);
+            decrement_running(&mut self.running, task.owner);
         }
     }
 
     /// What became of `dispatch`; `None` if it was never received.
-    pub fn fate_of(&self, dispatch: DispatchId) -> Option<Fate> {
+    pub fn status_of(&self, dispatch: DispatchId) -> Option<DispatchStatus> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
-        (task.delegation == dispatch.delegation).then(|| task.fate())
+        (task.delegation == dispatch.delegation).then(|| task.status())
     }
 
     /// Every task that was started of `submission`.
-    pub fn fates_of(&self, submission: SubmissionId) -> Vec<(TaskIndex, Fate)> {
+    pub fn statuses_of(&self, submission: SubmissionId) -> Vec<(TaskIndex, DispatchStatus)> {
         self.records
             .get(&submission)
             .map_or_else(Vec::new, |record| {
                 record
                     .tasks
                     .iter()
-                    .map(|(index, task)| (*index, task.fate()))
+                    .map(|(index, task)| (*index, task.status()))
                     .collect()
             })
     }
@@ -215,7 +218,7 @@
         for task in record.tasks.values_mut() {
             let old_owner = std::mem::replace(&mut task.owner, gateway);
             if old_owner != gateway && task.is_running() {
-                move_one(&mut self.running, old_owner, gateway);
+                transfer_running(&mut self.running, old_owner, gateway);
                 old_owners.insert(old_owner);
             }
         }
@@ -237,14 +240,14 @@
                 run: Span::default(),
                 outcome: TaskOutcome::Cancelled,
             };
-            one_less(&mut self.running, gateway);
+            decrement_running(&mut self.running, gateway);
             cancelled.push(DispatchId {
                 submission,
                 task: *index,
                 delegation: task.delegation,
             });
         }
-        self.forget_released(submission);
+        self.remove_released(submission);
         cancelled
     }
 
@@ -255,17 +258,17 @@
         if let Some(record) = self.records.get_mut(&submission) {
             record.released = true;
         }
-        self.forget_released(submission);
+        self.remove_released(submission);
     }
 
-    fn forget_released(&mut self, submission: SubmissionId) {
+    fn remove_released(&mut self, submission: SubmissionId) {
         let Some(record) = self.records.get_mut(&submission) else {
             return;
         };
         if !record.released || record.running() > 0 {
             return;
         }
-        self.kept_bytes -= record.kept_bytes();
+        self.retained_bytes -= record.retained_bytes();
         if record.fence > 0 {
             record.closed = true;
             record.tasks.clear();
@@ -280,11 +283,11 @@
         self.records.retain(|_, record| {
             let keep = record.expires > now || record.running() > 0;
             if !keep {
-                freed += record.kept_bytes();
+                freed += record.retained_bytes();
             }
             keep
         });
-        self.kept_bytes -= freed;
+        self.retained_bytes -= freed;
     }
 }
 
@@ -305,7 +308,7 @@
         u32::try_from(running).unwrap_or(u32::MAX)
     }
 
-    fn kept_bytes(&self) -> usize {
+    fn retained_bytes(&self) -> usize {
         self.tasks
             .values()
             .map(|task| match &task.state {
@@ -321,10 +324,10 @@
         matches!(self.state, TaskState::Running { .. })
     }
 
-    fn fate(&self) -> Fate {
+    fn status(&self) -> DispatchStatus {
         match &self.state {
-            TaskState::Running { .. } => Fate::Running,
-            TaskState::Finished { run, outcome } => Fate::Finished {
+            TaskState::Running { .. } => DispatchStatus::Running,
+            TaskState::Finished { run, outcome } => DispatchStatus::Finished {
                 run_micros: run.0,
                 outcome: outcome.clone(),
             },
@@ -339,7 +342,7 @@
     }
 }
 
-fn one_less(running: &mut BTreeMap<Incarnation, u32>, owner: Incarnation) {
+fn decrement_running(running: &mut BTreeMap<Incarnation, u32>, owner: Incarnation) {
     if let Some(count) = running.get_mut(&owner) {
         *count -= 1;
         if *count == 0 {
@@ -348,7 +351,7 @@
     }
 }
 
-fn move_one(running: &mut BTreeMap<Incarnation, u32>, from: Incarnation, to: Incarnation) {
-    one_less(running, from);
+fn transfer_running(running: &mut BTreeMap<Incarnation, u32>, from: Incarnation, to: Incarnation) {
+    decrement_running(running, from);
     *running.entry(to).or_default() += 1;
 }
--- a/laurelstile-core/src/agent/recovery.rs
+++ b/laurelstile-core/src/agent/recovery.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::Timestamp;
 
 use super::{Agent, AgentEffect};
-use crate::messages::agent::{Fate, Fence, FromAgentBody, Reconciled, Recovered};
+use crate::messages::agent::{DispatchStatus, Fence, FromAgentBody, Reconciled, Recovered};
 use crate::session::SessionId;
 
 impl Agent {
@@ -21,10 +21,10 @@
             .iter()
             .map(|dispatch| Reconciled {
                 dispatch: *dispatch,
-                fate: self
+                status: self
                     .records
-                    .fate_of(*dispatch)
-                    .unwrap_or(Fate::NeverReceived),
+                    .status_of(*dispatch)
+                    .unwrap_or(DispatchStatus::NeverReceived),
             })
             .collect();
         self.send(now, session, FromAgentBody::Reconciled(answers), effects);
@@ -46,7 +46,7 @@
             let old_owners = self.records.fence(now, gateway, *fence);
             answers.push(Recovered {
                 fence: *fence,
-                tasks: self.records.fates_of(fence.submission),
+                tasks: self.records.statuses_of(fence.submission),
             });
             for (old_session, link) in &self.links {
                 if old_owners.contains(&link.gateway) {
--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -6,9 +6,9 @@
 use laurelstile_types::id::BackendName;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::links::{IDLE_HEARTBEAT, LinkIndex, SESSION_SILENCE};
+use super::links::{IDLE_HEARTBEAT_INTERVAL, LinkIndex, SESSION_TIMEOUT};
 use super::{Gateway, GatewayEffect};
-use crate::agent::BUSY_HEARTBEAT;
+use crate::agent::BUSY_HEARTBEAT_INTERVAL;
 use crate::messages::agent::{FromAgent, FromAgentBody, Membership, ToAgent, ToAgentBody};
 use crate::messages::peer::DelegationKey;
 use crate::session::{Remote, SessionId};
@@ -30,21 +30,21 @@
             effects.push(GatewayEffect::Close(session));
             return;
         };
-        let before = self.links.get(index).incarnation;
-        let replaced = before.is_some_and(|incarnation| incarnation != remote.incarnation);
-        if replaced {
+        let previous = self.links.get(index).incarnation;
+        let is_replaced = previous.is_some_and(|incarnation| incarnation != remote.incarnation);
+        if is_replaced {
             self.on_agent_lost(now, index, effects);
         }
         if let Some(old) = self.links.open(now, index, session, remote) {
             effects.push(GatewayEffect::Close(old));
         }
-        self.recover_again(index);
+        self.requeue_recovery(index);
         let unresolved = &self.links.get(index).unresolved;
         if !unresolved.is_empty() {
             let dispatches = unresolved.iter().copied().collect();
             self.send_to_agent(now, index, ToAgentBody::Reconcile(dispatches), effects);
         }
-        self.tell_leaving(now, index, effects);
+        self.notify_agent_leaving(now, index, effects);
     }
 
     /// Nothing listens at the agent's address: the process that had our
@@ -91,8 +91,8 @@
             FromAgentBody::Heartbeat => {}
             FromAgentBody::Results(results) => {
                 for result in results {
-                    if self.scheduler.runs(result.dispatch) {
-                        self.scheduler.on_end_of_task(
+                    if self.scheduler.is_running(result.dispatch) {
+                        self.scheduler.on_task_ended(
                             now,
                             result.dispatch,
                             Span(result.run_micros),
@@ -116,8 +116,12 @@
             }
             FromAgentBody::Reconciled(answers) => {
                 for answer in answers {
-                    self.scheduler
-                        .on_fate(now, answer.dispatch, answer.fate, &mut self.links);
+                    self.scheduler.on_reconciled(
+                        now,
+                        answer.dispatch,
+                        answer.status,
+                        &mut self.links,
+                    );
                 }
             }
             FromAgentBody::Recovered(answers) => {
@@ -134,7 +138,7 @@
                     self.scheduler.supersede(key, &mut self.links);
                 }
             }
-            FromAgentBody::Revision(revision) => self.adopt(now, revision, effects),
+            FromAgentBody::Revision(revision) => self.apply(now, revision, effects),
         }
     }
 
@@ -180,14 +184,14 @@
         };
         let number = revision.number;
         let revision = Arc::clone(revision);
-        let holds = self.links.holds_revisions(index);
+        let gets_whole_revision = self.links.gets_whole_revisions(index);
         let link = self.links.get_mut(index);
         let known = link.report.revision.max(link.pushed_revision);
         if link.session.is_none() || known >= number {
             return;
         }
         link.pushed_revision = number;
-        let body = if holds {
+        let body = if gets_whole_revision {
             ToAgentBody::Revision(revision)
         } else {
             ToAgentBody::Membership(Membership::of(&revision, &link.name))
@@ -195,31 +199,31 @@
         self.send_to_agent(now, index, body, effects);
     }
 
-    pub(super) fn tell_leaving(
+    pub(super) fn notify_agent_leaving(
         &mut self,
         now: Timestamp,
         index: LinkIndex,
         effects: &mut Vec<GatewayEffect>,
     ) {
         let link = self.links.get_mut(index);
-        if link.listed_leaving && link.session.is_some() && !link.told_leaving {
-            link.told_leaving = true;
+        if link.listed_leaving && link.session.is_some() && !link.leaving_notified {
+            link.leaving_notified = true;
             self.send_to_agent(now, index, ToAgentBody::Leaving, effects);
         }
     }
 
     pub(super) fn flush_agents(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
-        for index in self.links.with_orders() {
-            let recover = std::mem::take(&mut self.links.get_mut(index).recover);
+        for index in self.links.with_pending_commands() {
+            let recover = std::mem::take(&mut self.links.get_mut(index).pending_fences);
             if !recover.is_empty() {
                 self.send_to_agent(now, index, ToAgentBody::Recover(recover), effects);
             }
-            let cancel = std::mem::take(&mut self.links.get_mut(index).cancel);
+            let cancel = std::mem::take(&mut self.links.get_mut(index).pending_cancels);
             if !cancel.is_empty() {
                 self.send_to_agent(now, index, ToAgentBody::Cancel(cancel), effects);
             }
         }
-        if now < self.resting_until {
+        if now < self.starts_held_until {
             return;
         }
         let starts = self.scheduler.dispatch(now, &mut self.links);
@@ -245,19 +249,21 @@
             let Some(session) = link.session else {
                 continue;
             };
-            if now.since(link.last_heard) > SESSION_SILENCE {
+            if now.since(link.last_heard) > SESSION_TIMEOUT {
                 effects.push(GatewayEffect::Close(session));
                 self.links.close(now, session);
                 continue;
             }
-            let quiet = now.since(link.last_sent);
+            let since_last_sent = now.since(link.last_sent);
             let heartbeat_due = if link.unresolved.is_empty() {
-                quiet >= IDLE_HEARTBEAT && now.since(link.last_heard) >= IDLE_HEARTBEAT
+                since_last_sent >= IDLE_HEARTBEAT_INTERVAL
+                    && now.since(link.last_heard) >= IDLE_HEARTBEAT_INTERVAL
             } else {
-                quiet >= BUSY_HEARTBEAT
+                since_last_sent >= BUSY_HEARTBEAT_INTERVAL
             };
-            let release_due = !link.release.is_empty()
-                && (quiet >= RELEASE_DELAY || link.release.len() >= RELEASE_BATCH);
+            let release_due = !link.pending_releases.is_empty()
+                && (since_last_sent >= RELEASE_DELAY
+                    || link.pending_releases.len() >= RELEASE_BATCH);
             if heartbeat_due || release_due {
                 self.send_to_agent(now, index, ToAgentBody::Heartbeat, effects);
             }
@@ -267,7 +273,7 @@
     /// Sends every pending release on its own.
     pub(super) fn send_releases(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for index in self.links.indices() {
-            if !self.links.get(index).release.is_empty() {
+            if !self.links.get(index).pending_releases.is_empty() {
                 self.send_to_agent(now, index, ToAgentBody::Heartbeat, effects);
             }
         }
@@ -289,7 +295,7 @@
         let message = ToAgent {
             echo: link.report.clock,
             revision,
-            release: std::mem::take(&mut link.release),
+            release: std::mem::take(&mut link.pending_releases),
             body,
         };
         effects.push(GatewayEffect::ToAgent { session, message });
--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -6,7 +6,7 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::scheduler::Origin;
-use super::submission::{Holder, Phase, Submission};
+use super::submission::{AssignedScheduler, Phase, Submission};
 use super::{Answer, ClaimOutcome, ClaimRequest, Gateway, GatewayEffect, JobRequest};
 use crate::messages::agent::TaskOutcome;
 use crate::messages::peer::{Delegation, DelegationEnd, DelegationOutcome, ToPeerBody};
@@ -72,8 +72,8 @@
         configuration
             .tenant(&request.tenant)
             .ok_or(Reason::UnknownTenant)?;
-        let most = service.max_tasks_per_job as usize;
-        if request.inputs.is_empty() || request.inputs.len() > most {
+        let max_tasks = service.max_tasks_per_job as usize;
+        if request.inputs.is_empty() || request.inputs.len() > max_tasks {
             return Err(Reason::JobSize);
         }
         let claim = match (class.repeatable, &request.idempotency_key) {
@@ -86,8 +86,10 @@
                 submission: id,
             }),
         };
-        let longest = Span::from_millis(class.deadline_millis);
-        let deadline = request.deadline.map_or(longest, |asked| asked.min(longest));
+        let max_deadline = Span::from_millis(class.deadline_millis);
+        let deadline = request
+            .deadline
+            .map_or(max_deadline, |requested| requested.min(max_deadline));
         Ok(Submission {
             id,
             service: request.service.clone(),
@@ -102,7 +104,7 @@
             phase: Phase::Claiming,
             running_at: std::collections::BTreeMap::new(),
             fenced_at: std::collections::BTreeSet::new(),
-            unaccounted: false,
+            starts_unknown: false,
             claim,
         })
     }
@@ -114,12 +116,12 @@
         outcome: ClaimOutcome,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let waiting = self
+        let is_claiming = self
             .submissions
             .get(&id.number)
             .is_some_and(|submission| submission.phase == Phase::Claiming);
-        if !waiting {
-            self.settle_late_claim(id, outcome, effects);
+        if !is_claiming {
+            self.resolve_late_claim(id, outcome, effects);
             return;
         }
         match outcome {
@@ -144,13 +146,13 @@
     }
 
     /// The submission was answered as not run before its claim was decided.
-    fn settle_late_claim(
+    fn resolve_late_claim(
         &mut self,
         id: SubmissionId,
         outcome: ClaimOutcome,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let claim = self.unsettled_claims.remove(&id.number);
+        let claim = self.undecided_claims.remove(&id.number);
         if let Some(claim) = claim
             && outcome != ClaimOutcome::Taken
         {
@@ -177,15 +179,15 @@
             class: submission.class.clone(),
             tenant: submission.tenant.clone(),
             time_left: submission.deadline.since(now),
-            tasks: submission.missing(),
+            tasks: submission.missing_tasks(),
         };
-        let holder = self.choose_scheduler(now, &delegation);
+        let scheduler = self.choose_scheduler(now, &delegation);
         if let Some(submission) = self.submissions.get_mut(&number) {
-            submission.phase = Phase::Delegated(holder.clone());
+            submission.phase = Phase::Delegated(scheduler.clone());
         }
-        match holder {
-            Holder::Own => self.schedule_own(now, delegation, effects),
-            Holder::Peer(name) => {
+        match scheduler {
+            AssignedScheduler::Local => self.schedule_locally(now, delegation, effects),
+            AssignedScheduler::Peer(name) => {
                 if let Some(peer) = self.peers.get_mut(&name) {
                     peer.outstanding.insert(key, now);
                 }
@@ -195,7 +197,7 @@
         }
     }
 
-    fn choose_scheduler(&self, now: Timestamp, delegation: &Delegation) -> Holder {
+    fn choose_scheduler(&self, now: Timestamp, delegation: &Delegation) -> AssignedScheduler {
         let own = (!self.stopping).then_some(&self.identity.name);
         let peers = self
             .peers
@@ -203,12 +205,12 @@
             .filter(|(_, peer)| peer.can_schedule(now))
             .map(|(name, _)| name);
         match scheduler_of(&delegation.pool, peers.chain(own)) {
-            Some(name) if *name != self.identity.name => Holder::Peer(name.clone()),
-            _ => Holder::Own,
+            Some(name) if *name != self.identity.name => AssignedScheduler::Peer(name.clone()),
+            _ => AssignedScheduler::Local,
         }
     }
 
-    fn schedule_own(
+    fn schedule_locally(
         &mut self,
         now: Timestamp,
         delegation: Delegation,
@@ -258,15 +260,15 @@
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
-        let current =
+        let is_current =
             submission.key() == end.key && matches!(submission.phase, Phase::Delegated(_));
-        if !current {
+        if !is_current {
             return;
         }
         match end.outcome {
             DelegationOutcome::Complete(outputs) => {
                 for output in outputs {
-                    submission.put(output.index, output.output);
+                    submission.set_output(output.index, output.output);
                 }
                 submission.phase = Phase::Collecting;
                 self.answer_if_complete(now, number, effects);
@@ -298,7 +300,7 @@
         }
         match outcome {
             TaskOutcome::Output(output) => {
-                submission.put(dispatch.task, output);
+                submission.set_output(dispatch.task, output);
                 self.answer_if_complete(now, number, effects);
             }
             TaskOutcome::Failed => {
@@ -345,19 +347,19 @@
         };
         let outcome = outcome.map_err(|failure| with_run_state(failure, &submission));
         if let Err(failure) = &outcome {
-            self.stop_work_of(now, &submission, effects);
+            self.cancel_work(now, &submission, effects);
             if failure.run_state == RunState::NotRun
                 && let Some(claim) = &submission.claim
             {
                 // A claim whose write is under way is released after it.
                 if submission.phase == Phase::Claiming {
-                    self.unsettled_claims.insert(number, claim.clone());
+                    self.undecided_claims.insert(number, claim.clone());
                 } else {
                     effects.push(GatewayEffect::ReleaseClaim(claim.clone()));
                 }
             }
         }
-        self.release_fenced(&submission);
+        self.queue_fence_releases(&submission);
         effects.push(GatewayEffect::Answer(Box::new(Answer {
             submission: submission.id,
             service: submission.service,
@@ -369,22 +371,22 @@
     }
 
     /// Stops what schedulers and agents still do for a submission.
-    fn stop_work_of(
+    fn cancel_work(
         &mut self,
         now: Timestamp,
         submission: &Submission,
         effects: &mut Vec<GatewayEffect>,
     ) {
         match &submission.phase {
-            Phase::Delegated(Holder::Own) => {
+            Phase::Delegated(AssignedScheduler::Local) => {
                 self.scheduler.withdraw(submission.key(), &mut self.links);
             }
-            Phase::Delegated(Holder::Peer(name)) => {
-                let known = self
+            Phase::Delegated(AssignedScheduler::Peer(name)) => {
+                let removed = self
                     .peers
                     .get_mut(name)
                     .and_then(|peer| peer.outstanding.remove(&submission.key()));
-                if known.is_some() {
+                if removed.is_some() {
                     let body = ToPeerBody::Withdraw(vec![submission.key()]);
                     self.send_to_peer(now, name, body, effects);
                 }
@@ -392,14 +394,20 @@
             Phase::Claiming | Phase::Recovering(_) | Phase::Collecting => {}
         }
         for link in submission.running_at.values() {
-            self.links.get_mut(*link).cancel.push(submission.id);
+            self.links
+                .get_mut(*link)
+                .pending_cancels
+                .push(submission.id);
         }
     }
 
     /// Lets the agents that keep a fence for a submission forget its outputs.
-    fn release_fenced(&mut self, submission: &Submission) {
+    fn queue_fence_releases(&mut self, submission: &Submission) {
         for link in &submission.fenced_at {
-            self.links.get_mut(*link).release.push(submission.id);
+            self.links
+                .get_mut(*link)
+                .pending_releases
+                .push(submission.id);
         }
     }
 
@@ -424,7 +432,7 @@
         let expired: Vec<(u64, RunState)> = self
             .submissions
             .iter()
-            .filter(|(_, submission)| now >= submission.answer_by())
+            .filter(|(_, submission)| now >= submission.answer_deadline())
             .map(|(number, submission)| (*number, submission.run_state()))
             .collect();
         for (number, run_state) in expired {
@@ -440,7 +448,7 @@
 
 impl Submission {
     /// When the entry gateway answers even without its scheduler's word.
-    fn answer_by(&self) -> Timestamp {
+    fn answer_deadline(&self) -> Timestamp {
         match self.phase {
             Phase::Claiming => self.deadline,
             _ => self.deadline.after(DEADLINE_GRACE),
--- a/laurelstile-core/src/gateway/job.rs
+++ b/laurelstile-core/src/gateway/job.rs
@@ -8,16 +8,16 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::links::LinkIndex;
-use super::queue::{Claim, Place};
+use super::queue::{Rank, RankInput};
 use crate::messages::peer::{DelegatedTask, DelegationKey, TaskOutput};
 use crate::payload::Payload;
 
 /// Weight of a new run in the learned mean of its class.
-const MEAN_GAIN: f64 = 0.05;
+const MEAN_SMOOTHING: f64 = 0.05;
 
 /// A task that was sent to an agent and whose end is not known.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct RunningTask {
     pub(super) link: LinkIndex,
     pub(super) input: Payload,
 }
@@ -37,21 +37,21 @@
     /// gateway's own, which no other gateway can ever recover.
     pub(super) delegated: Option<Timestamp>,
     pub(super) deadline: Timestamp,
-    pub(super) task_mean: Span,
+    pub(super) mean_run_time: Span,
     pub(super) waiting: VecDeque<DelegatedTask>,
-    pub(super) running: BTreeMap<TaskIndex, Running>,
+    pub(super) running: BTreeMap<TaskIndex, RunningTask>,
     pub(super) outputs: Vec<TaskOutput>,
     pub(super) task_count: usize,
-    pub(super) touched: BTreeSet<LinkIndex>,
-    pub(super) place: Option<Place>,
+    pub(super) contacted: BTreeSet<LinkIndex>,
+    pub(super) rank: Option<Rank>,
 }
 
 /// How long tasks of a class run.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ClassMean(f64);
+pub(super) struct MeanRunTime(f64);
 
 impl Job {
-    pub(super) fn runs(&self, dispatch: DispatchId) -> bool {
+    pub(super) fn is_running(&self, dispatch: DispatchId) -> bool {
         self.key.delegation == dispatch.delegation && self.running.contains_key(&dispatch.task)
     }
 
@@ -62,11 +62,11 @@
     }
 
     pub(super) fn remaining(&self) -> Span {
-        Span(self.task_mean.0 * self.waiting.len() as u64)
+        Span(self.mean_run_time.0 * self.waiting.len() as u64)
     }
 
-    pub(super) fn claim(&self) -> Claim {
-        Claim {
+    pub(super) fn rank_input(&self) -> RankInput {
+        RankInput {
             remaining: self.remaining(),
             weight: self.weight,
             arrival: self.arrival,
@@ -74,7 +74,7 @@
     }
 }
 
-impl From<Span> for ClassMean {
+impl From<Span> for MeanRunTime {
     fn from(span: Span) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let micros = span.0 as f64;
@@ -82,9 +82,9 @@
     }
 }
 
-impl ClassMean {
-    pub(super) fn learn(&mut self, run: Span) {
-        self.0 += MEAN_GAIN * (Self::from(run).0 - self.0);
+impl MeanRunTime {
+    pub(super) fn record_run_time(&mut self, run: Span) {
+        self.0 += MEAN_SMOOTHING * (Self::from(run).0 - self.0);
     }
 
     pub(super) fn span(self) -> Span {
--- a/laurelstile-core/src/gateway/links.rs
+++ b/laurelstile-core/src/gateway/links.rs
@@ -12,21 +12,21 @@
 use crate::session::{Remote, SessionId};
 
 /// An agent with unresolved dispatches gets no start after this silence.
-pub const BUSY_SUSPECT: Span = Span::from_secs(2);
+pub const MAX_BUSY_REPORT_AGE: Span = Span::from_secs(2);
 /// An idle agent is asked for a fresh report before it gets a start after this
 /// silence.
-pub const REPORT_FRESHNESS: Span = Span::from_secs(3);
+pub const MAX_IDLE_REPORT_AGE: Span = Span::from_secs(3);
 /// An idle agent is asked for a sign of life after this silence.
-pub const IDLE_HEARTBEAT: Span = Span::from_secs(8);
+pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_secs(8);
 /// How many agents, at least, are given whole revisions, if there are so many.
-const HOLDERS: usize = 8;
+const MIN_REVISION_HOLDERS: usize = 8;
 /// Pause between two requests for a fresh report.
-const PROBE_PAUSE: Span = Span::from_secs(1);
+const MIN_PROBE_INTERVAL: Span = Span::from_secs(1);
 /// A session from which nothing comes for this long is closed.
-pub const SESSION_SILENCE: Span = Span::from_secs(25);
+pub const SESSION_TIMEOUT: Span = Span::from_secs(25);
 
 /// Weight of a new run in the running mean of an agent's slowness.
-const SLOWNESS_GAIN: f64 = 0.1;
+const SLOWNESS_SMOOTHING: f64 = 0.1;
 /// Steps of slowness within which agents count as equally fast.
 const SLOWNESS_STEPS_PER_UNIT: f64 = 4.0;
 
@@ -39,7 +39,7 @@
 struct Preference {
     slowness: u32,
     occupied_permille: u32,
-    other_zone: bool,
+    remote_zone: bool,
 }
 
 /// What a gateway knows of one agent.
@@ -74,21 +74,21 @@
     /// When the agent was last asked for a fresh report.
     pub probed_at: Timestamp,
     /// Starts sent in this session.
-    pub sent: u64,
+    pub starts_sent: u64,
     /// Dispatches whose end is not known.
     pub unresolved: BTreeSet<DispatchId>,
     /// Submissions to release with the next message.
-    pub release: Vec<SubmissionId>,
+    pub pending_releases: Vec<SubmissionId>,
     /// Submissions to cancel with the next flush.
-    pub cancel: Vec<SubmissionId>,
+    pub pending_cancels: Vec<SubmissionId>,
     /// Submissions to recover with the next flush.
-    pub recover: Vec<Fence>,
+    pub pending_fences: Vec<Fence>,
     /// Revision last pushed in this session.
     pub pushed_revision: u64,
     /// Whether the agent was told in this session that it is leaving.
-    pub told_leaving: bool,
+    pub leaving_notified: bool,
     slowness: f64,
-    available_as: Option<Preference>,
+    preference: Option<Preference>,
 }
 
 impl Link {
@@ -103,22 +103,22 @@
 
     /// Whether the last report is young enough to send starts by it.
     fn is_fresh(&self, now: Timestamp) -> bool {
-        let silence = if self.unresolved.is_empty() {
-            REPORT_FRESHNESS
+        let max_age = if self.unresolved.is_empty() {
+            MAX_IDLE_REPORT_AGE
         } else {
-            BUSY_SUSPECT
+            MAX_BUSY_REPORT_AGE
         };
-        now.since(self.last_heard) <= silence
+        now.since(self.last_heard) <= max_age
     }
 
     /// Slots that a fresh report would probably give; 0 if the last report is
     /// fresh, or the agent was asked just now.
     fn expected_slots(&self, now: Timestamp) -> u32 {
-        let is_worth_asking = self.is_in_service()
+        let should_probe = self.is_in_service()
             && !self.is_fresh(now)
             && self.unresolved.is_empty()
-            && now.since(self.probed_at) >= PROBE_PAUSE;
-        if is_worth_asking { self.report.free } else { 0 }
+            && now.since(self.probed_at) >= MIN_PROBE_INTERVAL;
+        if should_probe { self.report.free } else { 0 }
     }
 
     /// Free slots: those reported less the starts that the report does not
@@ -127,29 +127,29 @@
         if !self.is_in_service() || !self.is_fresh(now) {
             return 0;
         }
-        let on_the_way = self.sent.saturating_sub(self.report.processed);
+        let in_flight = self.starts_sent.saturating_sub(self.report.processed);
         u64::from(self.report.free)
-            .saturating_sub(on_the_way)
+            .saturating_sub(in_flight)
             .try_into()
             .unwrap_or(u32::MAX)
     }
 
     /// Whether the agent takes a task that was delegated `age` ago: only if it
     /// was in its pool before.
-    pub fn takes(&self, age: Span) -> bool {
+    pub fn accepts_age(&self, age: Span) -> bool {
         self.report.clock >= self.report.member_since.after(age)
     }
 
     /// Whether the link has a session that was heard from lately.
     pub fn is_live(&self, now: Timestamp) -> bool {
-        self.session.is_some() && now.since(self.last_heard) <= SESSION_SILENCE
+        self.session.is_some() && now.since(self.last_heard) <= SESSION_TIMEOUT
     }
 
     /// Notes how long a task ran against its class's mean.
-    pub fn note_run(&mut self, run: Span, mean: Span) {
+    pub fn update_slowness(&mut self, run: Span, mean: Span) {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let ratio = run.0 as f64 / mean.0.max(1) as f64;
-        self.slowness += SLOWNESS_GAIN * (ratio - self.slowness);
+        self.slowness += SLOWNESS_SMOOTHING * (ratio - self.slowness);
     }
 }
 
@@ -196,15 +196,15 @@
             last_heard: Timestamp::default(),
             last_sent: Timestamp::default(),
             probed_at: Timestamp::default(),
-            sent: 0,
+            starts_sent: 0,
             unresolved: BTreeSet::new(),
-            release: Vec::new(),
-            cancel: Vec::new(),
-            recover: Vec::new(),
+            pending_releases: Vec::new(),
+            pending_cancels: Vec::new(),
+            pending_fences: Vec::new(),
             pushed_revision: 0,
-            told_leaving: false,
+            leaving_notified: false,
             slowness: 1.0,
-            available_as: None,
+            preference: None,
         });
         self.by_name.insert(name.clone(), index);
         index
@@ -231,17 +231,17 @@
     }
 
     /// Whether an agent is given whole revisions, which it can teach to
-    /// gateways that cannot read them in the table. Some [`HOLDERS`] agents
+    /// gateways that cannot read them in the table. Some [`MIN_REVISION_HOLDERS`] agents
     /// are, spread over the configuration.
-    pub fn holds_revisions(&self, index: LinkIndex) -> bool {
-        let stride = (self.links.len() / HOLDERS).max(1);
+    pub fn gets_whole_revisions(&self, index: LinkIndex) -> bool {
+        let stride = (self.links.len() / MIN_REVISION_HOLDERS).max(1);
         index.0.is_multiple_of(stride)
     }
 
     /// Links with an open session and something to recover or cancel.
-    pub fn with_orders(&self) -> Vec<LinkIndex> {
+    pub fn with_pending_commands(&self) -> Vec<LinkIndex> {
         self.iter()
-            .filter(|(_, link)| !link.recover.is_empty() || !link.cancel.is_empty())
+            .filter(|(_, link)| !link.pending_fences.is_empty() || !link.pending_cancels.is_empty())
             .filter(|(_, link)| link.session.is_some())
             .map(|(index, _)| index)
             .collect()
@@ -295,7 +295,7 @@
 
     /// Whether agents of `pool` have reported, and every one of them joined the
     /// pool after `delegated`, a time on this gateway's clock.
-    pub fn all_younger(&self, pool: &PoolName, delegated: Timestamp) -> bool {
+    pub fn all_joined_after(&self, pool: &PoolName, delegated: Timestamp) -> bool {
         let mut any = false;
         for link in self.links.iter().filter(|link| link.pool == *pool) {
             if link.session.is_none() || link.report.clock == Timestamp::default() {
@@ -326,14 +326,14 @@
             link.incarnation = Some(remote.incarnation);
             link.incarnation_started = Timestamp(now.since(Timestamp(remote.uptime.0)).0);
             // What was to be told to the incarnation before is void.
-            link.release.clear();
-            link.cancel.clear();
+            link.pending_releases.clear();
+            link.pending_cancels.clear();
         }
         link.report = SlotReport::default();
         link.last_heard = now;
-        link.sent = 0;
+        link.starts_sent = 0;
         link.pushed_revision = 0;
-        link.told_leaving = false;
+        link.leaving_notified = false;
         if let Some(old) = old {
             self.by_session.remove(&old);
         }
@@ -350,27 +350,23 @@
         Some(index)
     }
 
-    /// The preferred agent of `pool` with a free slot, besides `passed_over`.
-    pub fn preferred(
-        &self,
-        pool: &PoolName,
-        passed_over: &BTreeSet<LinkIndex>,
-    ) -> Option<LinkIndex> {
+    /// The preferred agent of `pool` with a free slot, besides `skipped`.
+    pub fn preferred(&self, pool: &PoolName, skipped: &BTreeSet<LinkIndex>) -> Option<LinkIndex> {
         self.available
             .get(pool)?
             .iter()
             .map(|(_, index)| *index)
-            .find(|index| !passed_over.contains(index))
+            .find(|index| !skipped.contains(index))
     }
 
     /// Brings the preference of a link up to date after a change.
     pub fn refresh(&mut self, now: Timestamp, index: LinkIndex) {
         let link = &mut self.links[index.0];
         let preference = preference_of(link, now, &self.zone);
-        if preference == link.available_as {
+        if preference == link.preference {
             return;
         }
-        let old = std::mem::replace(&mut link.available_as, preference);
+        let old = std::mem::replace(&mut link.preference, preference);
         if !self.available.contains_key(&link.pool) {
             self.available.insert(link.pool.clone(), BTreeSet::new());
         }
@@ -401,6 +397,6 @@
     Some(Preference {
         slowness,
         occupied_permille: slots.saturating_sub(available) * 1_000 / slots,
-        other_zone: link.zone != *zone,
+        remote_zone: link.zone != *zone,
     })
 }
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -36,11 +36,11 @@
 
 pub use submission::{ClaimRequest, JobRequest};
 
-/// A gap between two events that means that the process stood still.
-const SUSPENSION: Span = Span::from_secs(2);
+/// A gap between two events that mean_run_times that the process stood still.
+const SUSPENSION_THRESHOLD: Span = Span::from_secs(2);
 /// How long nothing is started after such a gap, or in a new process that
 /// cannot read the machine list.
-const REST: Span = Span::from_millis(1_500);
+const START_HOLD_OFF: Span = Span::from_millis(1_500);
 
 /// What happens to a gateway.
 #[derive(Debug)]
@@ -196,7 +196,7 @@
     stop_reported: bool,
     last_handled: Timestamp,
     /// No task is started before this time.
-    resting_until: Timestamp,
+    starts_held_until: Timestamp,
     has_read_machines: bool,
     /// Back ends that the machine list says are leaving, configured or not.
     leaving: BTreeSet<BackendName>,
@@ -205,7 +205,7 @@
     scheduler: Scheduler,
     submissions: BTreeMap<u64, Submission>,
     /// Claims of submissions that were answered before these were decided.
-    unsettled_claims: BTreeMap<u64, ClaimRequest>,
+    undecided_claims: BTreeMap<u64, ClaimRequest>,
 }
 
 impl Gateway {
@@ -220,13 +220,13 @@
             last_handled: Timestamp::default(),
             // A new process knows nothing of the machine list; its clock starts
             // at zero.
-            resting_until: Timestamp(REST.0),
+            starts_held_until: Timestamp(START_HOLD_OFF.0),
             has_read_machines: false,
             leaving: BTreeSet::new(),
             peers: Peers::default(),
             scheduler: Scheduler::default(),
             submissions: BTreeMap::new(),
-            unsettled_claims: BTreeMap::new(),
+            undecided_claims: BTreeMap::new(),
         }
     }
 
@@ -262,7 +262,7 @@
         event: GatewayEvent,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        self.note_suspension(now);
+        self.detect_suspension(now);
         match event {
             GatewayEvent::Submit { number, request } => self.submit(now, number, request, effects),
             GatewayEvent::CallerGone { number } => self.on_caller_gone(now, number, effects),
@@ -289,7 +289,7 @@
             GatewayEvent::PeerMessage { session, message } => {
                 self.on_peer_message(now, session, message, effects);
             }
-            GatewayEvent::Revision(revision) => self.adopt(now, revision, effects),
+            GatewayEvent::Revision(revision) => self.apply(now, revision, effects),
             GatewayEvent::Machines(list) => self.on_machines(now, &list, effects),
             GatewayEvent::Stop => self.stopping = true,
             GatewayEvent::Tick => self.on_tick(now, effects),
@@ -298,13 +298,13 @@
 
     /// Sends what the events since the last flush gave rise to.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
-        self.tell_ends(now, effects);
+        self.report_delegation_ends(now, effects);
         self.flush_agents(now, effects);
         // Choosing tasks may have found jobs past their deadline.
-        self.tell_ends(now, effects);
+        self.report_delegation_ends(now, effects);
         if self.stopping && self.is_idle() && !self.stop_reported {
             self.stop_reported = true;
-            self.hand_over(now, effects);
+            self.send_pending_notices(now, effects);
             effects.push(GatewayEffect::Stopped);
         }
     }
@@ -313,7 +313,7 @@
     pub fn status(&self, now: Timestamp) -> Status {
         let peers = self.peers.iter().map(|(name, peer)| NodeStatus {
             name: name.to_string(),
-            live: peer.session.is_some() && now.since(peer.last_heard) <= peers::SUSPECT,
+            live: peer.session.is_some() && now.since(peer.last_heard) <= peers::SUSPECT_AFTER,
             draining: peer.stopping,
             revision: peer.revision,
             free_slots: 0,
@@ -344,29 +344,29 @@
     /// A process that stood still acts on what it knew before. After such a
     /// gap nothing is started until there was time to read the machine list
     /// and what the other gateways have sent.
-    fn note_suspension(&mut self, now: Timestamp) {
-        if now.since(self.last_handled) > SUSPENSION {
-            self.resting_until = now.after(REST);
+    fn detect_suspension(&mut self, now: Timestamp) {
+        if now.since(self.last_handled) > SUSPENSION_THRESHOLD {
+            self.starts_held_until = now.after(START_HOLD_OFF);
         }
         self.last_handled = now;
     }
 
     /// Before a planned stop: sends what others wait for, so that agents can
     /// forget the outputs that they keep for this gateway.
-    fn hand_over(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
+    fn send_pending_notices(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         self.send_acknowledgements(now, effects);
         self.send_releases(now, effects);
     }
 
     fn is_idle(&self) -> bool {
         self.submissions.is_empty()
-            && self.unsettled_claims.is_empty()
+            && self.undecided_claims.is_empty()
             && self.scheduler.job_count() == 0
     }
 
     /// Puts a newer revision in force; an older one is ignored, so that a
     /// configuration never reverts.
-    fn adopt(&mut self, now: Timestamp, revision: Arc<Revision>, effects: &mut Vec<GatewayEffect>) {
+    fn apply(&mut self, now: Timestamp, revision: Arc<Revision>, effects: &mut Vec<GatewayEffect>) {
         if revision.number <= self.revision_number() {
             return;
         }
@@ -386,9 +386,9 @@
     ) {
         if !self.has_read_machines {
             self.has_read_machines = true;
-            self.resting_until = now;
+            self.starts_held_until = now;
         }
-        let mut news = Vec::new();
+        let mut newly_leaving = Vec::new();
         for machine in &list.machines {
             if machine.role != MachineRole::Backend {
                 continue;
@@ -404,28 +404,28 @@
                 continue;
             };
             let link = self.links.get_mut(index);
-            let is_news = is_leaving && !link.listed_leaving;
+            let is_newly_leaving = is_leaving && !link.listed_leaving;
             link.listed_leaving = is_leaving;
-            if is_news {
-                news.push(link.name.clone());
+            if is_newly_leaving {
+                newly_leaving.push(link.name.clone());
             }
-            let gone = machine.state == MachineState::Gone;
-            link.listed_gone_since = gone.then(|| link.listed_gone_since.unwrap_or(now));
-            let lost = gone && link.session.is_none();
+            let is_gone = machine.state == MachineState::Gone;
+            link.listed_gone_since = is_gone.then(|| link.listed_gone_since.unwrap_or(now));
+            let is_lost = is_gone && link.session.is_none();
             self.links.refresh(now, index);
-            self.tell_leaving(now, index, effects);
-            if lost {
+            self.notify_agent_leaving(now, index, effects);
+            if is_lost {
                 self.on_agent_lost(now, index, effects);
             }
         }
-        self.tell_peers_leaving(now, &news, effects);
+        self.notify_peers_leaving(now, &newly_leaving, effects);
     }
 
     fn on_tick(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         self.scheduler.expire(now, &mut self.links);
         let slots = self.links.slots_in_service();
         self.scheduler.set_slots_in_service(&slots);
-        self.scheduler.send_back_too_old(now, &mut self.links);
+        self.scheduler.send_back_stale(now, &mut self.links);
         self.expire_submissions(now, effects);
         self.tick_agents(now, effects);
         self.tick_peers(now, effects);
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -6,7 +6,9 @@
 use laurelstile_types::id::{BackendName, GatewayName, Incarnation};
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::peers::{BUSY_HEARTBEAT, DELEGATION_FRESHNESS, IDLE_HEARTBEAT, LOST};
+use super::peers::{
+    BUSY_HEARTBEAT_INTERVAL, IDLE_HEARTBEAT_INTERVAL, LOST_AFTER, MAX_DELEGATION_ECHO_AGE,
+};
 use super::scheduler::Origin;
 use super::{Gateway, GatewayEffect};
 use crate::messages::peer::{
@@ -29,7 +31,7 @@
         if let Some(old) = reopened.old_session {
             effects.push(GatewayEffect::Close(old));
         }
-        if let Some(lost) = reopened.lost {
+        if let Some(lost) = reopened.lost_incarnation {
             self.scheduler.on_entry_lost(lost, &mut self.links);
             self.recover_from(now, &reopened.name, effects);
         }
@@ -69,7 +71,7 @@
         peer.clock = Some(message.clock);
         peer.stopping = message.stopping;
         peer.revision = message.revision;
-        peer.dropped = false;
+        peer.jobs_dropped = false;
         let incarnation = peer.incarnation;
         for submission in message.acknowledge {
             self.scheduler.acknowledge(submission, &mut self.links);
@@ -85,7 +87,7 @@
                 // An entry gateway that is behind would not know every agent
                 // that may get tasks; it has been sent the newer revision.
                 let is_behind = message.revision < self.revision_number();
-                let is_stale = now.since(message.echo) > DELEGATION_FRESHNESS;
+                let is_stale = now.since(message.echo) > MAX_DELEGATION_ECHO_AGE;
                 let is_refused = self.stopping || is_behind || is_stale;
                 self.on_delegate(now, &name, origin, is_refused, *delegation, effects);
             }
@@ -103,7 +105,7 @@
                     self.recover_outstanding(now, &name, key, effects);
                 }
             }
-            ToPeerBody::Revision(revision) => self.adopt(now, revision, effects),
+            ToPeerBody::Revision(revision) => self.apply(now, revision, effects),
             ToPeerBody::Leaving(backends) => self.on_leaving(now, &backends, effects),
         }
     }
@@ -120,12 +122,12 @@
             if let Some(index) = self.links.find(backend) {
                 self.links.get_mut(index).listed_leaving = true;
                 self.links.refresh(now, index);
-                self.tell_leaving(now, index, effects);
+                self.notify_agent_leaving(now, index, effects);
             }
         }
     }
 
-    pub(super) fn tell_peers_leaving(
+    pub(super) fn notify_peers_leaving(
         &mut self,
         now: Timestamp,
         backends: &[BackendName],
@@ -177,7 +179,7 @@
         if peer.outstanding.remove(&end.key).is_none() {
             return;
         }
-        peer.acknowledge.push(end.key.submission);
+        peer.pending_acknowledgements.push(end.key.submission);
         self.on_delegation_end(now, end, effects);
     }
 
@@ -189,14 +191,15 @@
         keys: Vec<DelegationKey>,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let kept: BTreeSet<DelegationKey> = keys.into_iter().collect();
-        self.scheduler.keep_only(entry, &kept, &mut self.links);
-        let not_here: Vec<DelegationKey> = kept
+        let outstanding: BTreeSet<DelegationKey> = keys.into_iter().collect();
+        self.scheduler
+            .retain_delegations(entry, &outstanding, &mut self.links);
+        let unknown: Vec<DelegationKey> = outstanding
             .into_iter()
-            .filter(|key| !self.scheduler.has(*key))
+            .filter(|key| !self.scheduler.contains(*key))
             .collect();
-        if !not_here.is_empty() {
-            self.send_to_peer(now, name, ToPeerBody::NotHere(not_here), effects);
+        if !unknown.is_empty() {
+            self.send_to_peer(now, name, ToPeerBody::NotHere(unknown), effects);
         }
     }
 
@@ -219,11 +222,11 @@
         key: DelegationKey,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let known = self
+        let removed = self
             .peers
             .get_mut(name)
             .and_then(|peer| peer.outstanding.remove(&key));
-        if known.is_some() {
+        if removed.is_some() {
             self.recover(now, key, effects);
         }
     }
@@ -235,9 +238,13 @@
     }
 
     /// Tells the entry gateways how delegations ended.
-    pub(super) fn tell_ends(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
+    pub(super) fn report_delegation_ends(
+        &mut self,
+        now: Timestamp,
+        effects: &mut Vec<GatewayEffect>,
+    ) {
         loop {
-            let ends = self.scheduler.take_ends();
+            let ends = self.scheduler.take_pending_ends();
             if ends.is_empty() {
                 return;
             }
@@ -259,28 +266,28 @@
             let Some(peer) = self.peers.get_mut(&name) else {
                 continue;
             };
-            let suspect = peer.is_suspect(now);
+            let is_suspect = peer.is_suspect(now);
             let incarnation = peer.incarnation;
-            let lost = now.since(peer.last_heard) > LOST && !peer.dropped;
-            peer.dropped |= lost;
-            let quiet = now.since(peer.last_sent);
-            let has_acknowledgements = !peer.acknowledge.is_empty();
-            let busy = !peer.outstanding.is_empty();
-            if suspect {
+            let is_lost = now.since(peer.last_heard) > LOST_AFTER && !peer.jobs_dropped;
+            peer.jobs_dropped |= is_lost;
+            let since_last_sent = now.since(peer.last_sent);
+            let has_acknowledgements = !peer.pending_acknowledgements.is_empty();
+            let has_outstanding = !peer.outstanding.is_empty();
+            if is_suspect {
                 self.recover_from(now, &name, effects);
             }
-            if lost {
+            if is_lost {
                 self.scheduler.on_entry_lost(incarnation, &mut self.links);
             }
-            let works_for = busy || self.scheduler.job_count() > 0;
+            let has_work = has_outstanding || self.scheduler.job_count() > 0;
             let interval = if has_acknowledgements {
                 ACKNOWLEDGE_DELAY
-            } else if works_for {
-                BUSY_HEARTBEAT
+            } else if has_work {
+                BUSY_HEARTBEAT_INTERVAL
             } else {
-                IDLE_HEARTBEAT
+                IDLE_HEARTBEAT_INTERVAL
             };
-            if quiet >= interval {
+            if since_last_sent >= interval {
                 self.send_to_peer(now, &name, ToPeerBody::Heartbeat, effects);
             }
         }
@@ -296,7 +303,7 @@
             let is_pending = self
                 .peers
                 .get(&name)
-                .is_some_and(|peer| !peer.acknowledge.is_empty());
+                .is_some_and(|peer| !peer.pending_acknowledgements.is_empty());
             if is_pending {
                 self.send_to_peer(now, &name, ToPeerBody::Heartbeat, effects);
             }
@@ -352,7 +359,7 @@
         };
         peer.last_sent = now;
         let echo = peer.clock.unwrap_or_default();
-        let acknowledge = std::mem::take(&mut peer.acknowledge);
+        let acknowledge = std::mem::take(&mut peer.pending_acknowledgements);
         effects.push(GatewayEffect::ToPeer {
             session,
             message: ToPeer {
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -10,19 +10,19 @@
 use crate::session::{Remote, SessionId};
 
 /// Heartbeat interval towards a peer with delegations either way.
-pub const BUSY_HEARTBEAT: Span = Span::from_millis(300);
+pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(300);
 /// Heartbeat interval towards other peers.
-pub const IDLE_HEARTBEAT: Span = Span::from_millis(1_500);
+pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_millis(1_500);
 /// A peer is not chosen as a scheduler after this silence, and delegations
 /// to it are recovered.
-pub const SUSPECT: Span = Span::from_secs(3);
+pub const SUSPECT_AFTER: Span = Span::from_secs(3);
 /// A delegation is sent back if its sender last heard from this gateway
 /// longer ago: it may have been recovered meanwhile.
-pub const DELEGATION_FRESHNESS: Span = Span::from_secs(5);
+pub const MAX_DELEGATION_ECHO_AGE: Span = Span::from_secs(5);
 /// Delegations are recovered when a session was closed for this long.
 pub const RECONNECT_GRACE: Span = Span::from_secs(1);
 /// A peer's own jobs are dropped after this silence.
-pub const LOST: Span = Span::from_secs(20);
+pub const LOST_AFTER: Span = Span::from_secs(20);
 
 /// What a gateway knows of a peer.
 #[derive(Debug)]
@@ -46,11 +46,11 @@
     /// Revision last pushed in this session.
     pub pushed_revision: RevisionNumber,
     /// Ends to acknowledge with the next message.
-    pub acknowledge: Vec<SubmissionId>,
+    pub pending_acknowledgements: Vec<SubmissionId>,
     /// Delegations that it has from this gateway, with the time of sending.
     pub outstanding: BTreeMap<DelegationKey, Timestamp>,
     /// Whether its jobs were dropped since it was last heard.
-    pub dropped: bool,
+    pub jobs_dropped: bool,
 }
 
 impl Peer {
@@ -59,7 +59,7 @@
         self.session.is_some()
             && self.clock.is_some()
             && !self.stopping
-            && now.since(self.last_heard) <= SUSPECT
+            && now.since(self.last_heard) <= SUSPECT_AFTER
     }
 
     /// Whether what was delegated to it must be recovered.
@@ -69,7 +69,7 @@
         }
         let first_sent = self.outstanding.values().min().copied();
         let heard = self.last_heard.max(first_sent.unwrap_or_default());
-        now.since(heard) > SUSPECT
+        now.since(heard) > SUSPECT_AFTER
     }
 }
 
@@ -94,25 +94,25 @@
             stopping: false,
             revision: 0,
             pushed_revision: 0,
-            acknowledge: Vec::new(),
+            pending_acknowledgements: Vec::new(),
             outstanding: BTreeMap::new(),
-            dropped: false,
+            jobs_dropped: false,
         });
         let old_session = peer.session.replace(session);
         let old_incarnation = std::mem::replace(&mut peer.incarnation, remote.incarnation);
-        let lost = (old_incarnation != remote.incarnation).then_some(old_incarnation);
-        if lost.is_some() {
+        let lost_incarnation = (old_incarnation != remote.incarnation).then_some(old_incarnation);
+        if lost_incarnation.is_some() {
             peer.clock = None;
         }
         peer.closed_since = None;
         peer.last_heard = now;
         peer.pushed_revision = 0;
         peer.stopping = false;
-        peer.dropped = false;
+        peer.jobs_dropped = false;
         Reopened {
             name,
             old_session,
-            lost,
+            lost_incarnation,
         }
     }
 
@@ -171,5 +171,5 @@
     /// The session before.
     pub old_session: Option<SessionId>,
     /// The incarnation before, if it is another.
-    pub lost: Option<Incarnation>,
+    pub lost_incarnation: Option<Incarnation>,
 }
--- a/laurelstile-core/src/gateway/queue.rs
+++ b/laurelstile-core/src/gateway/queue.rs
@@ -10,13 +10,13 @@
 /// one of work. The measurement in docs/decisions/0002 chose it.
 const AGEING_PERMILLE: u64 = 20;
 
-/// Place of a job in the order; lower goes first.
+/// Rank of a job in the order; lower goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(u64);
+pub struct Rank(u64);
 
-/// What the place of a job follows from.
+/// What the rank of a job follows from.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim {
+pub struct RankInput {
     /// Expected run time of all its unstarted tasks together.
     pub remaining: Span,
     /// Weight of its tenant.
@@ -27,8 +27,8 @@
 
 /// The waiting jobs of one tenant.
 #[derive(Debug, Default)]
-struct Line {
-    jobs: BTreeSet<(Place, SubmissionId)>,
+struct TenantQueue {
+    jobs: BTreeSet<(Rank, SubmissionId)>,
     queued_tasks: u32,
     running: u32,
     quota: u32,
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Queue {
     slots: u32,
-    lines: BTreeMap<TenantName, Line>,
+    tenant_queues: BTreeMap<TenantName, TenantQueue>,
     queued_tasks: u32,
     queued_work: u64,
 }
@@ -48,7 +48,7 @@
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
-            lines: BTreeMap::new(),
+            tenant_queues: BTreeMap::new(),
             queued_tasks: 0,
             queued_work: 0,
         }
@@ -61,7 +61,7 @@
 
     /// Sets a tenant's quota of slots.
     pub fn set_quota(&mut self, tenant: &TenantName, quota: u32) {
-        self.lines.entry(tenant.clone()).or_default().quota = quota;
+        self.tenant_queues.entry(tenant.clone()).or_default().quota = quota;
     }
 
     /// The number of slots that estimates go by.
@@ -76,7 +76,9 @@
 
     /// Tasks of `tenant` that wait.
     pub fn queued_tasks_of(&self, tenant: &TenantName) -> u32 {
-        self.lines.get(tenant).map_or(0, |line| line.queued_tasks)
+        self.tenant_queues
+            .get(tenant)
+            .map_or(0, |queue| queue.queued_tasks)
     }
 
     /// How long the whole pool would work on all that waits.
@@ -84,73 +86,79 @@
         Span(self.queued_work / u64::from(self.slots))
     }
 
-    /// How long the pool would work on what goes before `place`.
-    pub fn backlog_before(&self, place: Place, work_of: impl Fn(SubmissionId) -> Span) -> Span {
+    /// How long the pool would work on what goes before `rank`.
+    pub fn backlog_before(&self, rank: Rank, work_of: impl Fn(SubmissionId) -> Span) -> Span {
         let before: u64 = self
-            .lines
+            .tenant_queues
             .values()
-            .flat_map(|line| line.jobs.range(..(place, FIRST_SUBMISSION)))
+            .flat_map(|queue| queue.jobs.range(..(rank, FIRST_SUBMISSION)))
             .map(|(_, submission)| work_of(*submission).0)
             .sum();
         Span(before / u64::from(self.slots))
     }
 
-    /// The place that `claim` gives: least remaining work per slot and weight goes
+    /// The rank that `input` gives: least remaining work per slot and weight goes
     /// first.
-    pub fn place(&self, claim: Claim) -> Place {
-        let share = u64::from(self.slots) * u64::from(claim.weight.max(1));
-        let aged = claim.arrival.0 / 1_000 * AGEING_PERMILLE;
-        Place(claim.remaining.0 / share + aged)
+    pub fn rank(&self, input: RankInput) -> Rank {
+        let share = u64::from(self.slots) * u64::from(input.weight.max(1));
+        let arrival_offset = input.arrival.0 / 1_000 * AGEING_PERMILLE;
+        Rank(input.remaining.0 / share + arrival_offset)
     }
 
     /// Puts a job with waiting tasks in.
-    pub fn insert(&mut self, tenant: &TenantName, place: Place, submission: SubmissionId) {
-        let line = self.lines.entry(tenant.clone()).or_default();
-        line.jobs.insert((place, submission));
+    pub fn insert(&mut self, tenant: &TenantName, rank: Rank, submission: SubmissionId) {
+        let queue = self.tenant_queues.entry(tenant.clone()).or_default();
+        queue.jobs.insert((rank, submission));
     }
 
     /// Takes a job out.
-    pub fn remove(&mut self, tenant: &TenantName, place: Place, submission: SubmissionId) {
-        if let Some(line) = self.lines.get_mut(tenant) {
-            line.jobs.remove(&(place, submission));
+    pub fn remove(&mut self, tenant: &TenantName, rank: Rank, submission: SubmissionId) {
+        if let Some(queue) = self.tenant_queues.get_mut(tenant) {
+            queue.jobs.remove(&(rank, submission));
         }
     }
 
     /// Notes that tasks came into the queue.
     pub fn add_tasks(&mut self, tenant: &TenantName, tasks: u32, work: Span) {
-        self.lines.entry(tenant.clone()).or_default().queued_tasks += tasks;
+        self.tenant_queues
+            .entry(tenant.clone())
+            .or_default()
+            .queued_tasks += tasks;
         self.queued_tasks += tasks;
         self.queued_work += work.0;
     }
 
     /// Notes that tasks left the queue.
     pub fn remove_tasks(&mut self, tenant: &TenantName, tasks: u32, work: Span) {
-        if let Some(line) = self.lines.get_mut(tenant) {
-            line.queued_tasks = line.queued_tasks.saturating_sub(tasks);
+        if let Some(queue) = self.tenant_queues.get_mut(tenant) {
+            queue.queued_tasks = queue.queued_tasks.saturating_sub(tasks);
         }
         self.queued_tasks = self.queued_tasks.saturating_sub(tasks);
         self.queued_work = self.queued_work.saturating_sub(work.0);
     }
 
     /// Notes that a task of `tenant` took a slot.
-    pub fn occupy(&mut self, tenant: &TenantName) {
-        self.lines.entry(tenant.clone()).or_default().running += 1;
+    pub fn occupy_slot(&mut self, tenant: &TenantName) {
+        self.tenant_queues
+            .entry(tenant.clone())
+            .or_default()
+            .running += 1;
     }
 
     /// Notes that a task of `tenant` left its slot.
-    pub fn vacate(&mut self, tenant: &TenantName) {
-        if let Some(line) = self.lines.get_mut(tenant) {
-            line.running = line.running.saturating_sub(1);
+    pub fn vacate_slot(&mut self, tenant: &TenantName) {
+        if let Some(queue) = self.tenant_queues.get_mut(tenant) {
+            queue.running = queue.running.saturating_sub(1);
         }
     }
 
     /// The job whose task goes next, among those that fit and whose tenants
     /// are below their quota.
     pub fn next(&self, fits: impl Fn(SubmissionId) -> bool) -> Option<SubmissionId> {
-        self.lines
+        self.tenant_queues
             .values()
-            .filter(|line| line.running < line.quota)
-            .filter_map(|line| line.jobs.iter().find(|(_, submission)| fits(*submission)))
+            .filter(|queue| queue.running < queue.quota)
+            .filter_map(|queue| queue.jobs.iter().find(|(_, submission)| fits(*submission)))
             .min()
             .map(|(_, submission)| *submission)
     }
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -10,7 +10,7 @@
 use super::links::{Link, LinkIndex};
 use super::submission::{Phase, Submission};
 use super::{Gateway, GatewayEffect};
-use crate::messages::agent::{Fate, Fence, Recovered, TaskOutcome};
+use crate::messages::agent::{DispatchStatus, Fence, Recovered, TaskOutcome};
 use crate::messages::peer::DelegationKey;
 
 impl Gateway {
@@ -33,15 +33,15 @@
             submission: submission.id,
             delegation: submission.delegation + 1,
         };
-        let asked: BTreeSet<LinkIndex> = self
+        let agents: BTreeSet<LinkIndex> = self
             .links
             .iter()
             .filter(|(_, link)| may_have_tasks(link, submission))
             .map(|(index, _)| index)
             .collect();
-        submission.phase = Phase::Recovering(asked.clone());
-        for index in asked {
-            self.links.get_mut(index).recover.push(fence);
+        submission.phase = Phase::Recovering(agents.clone());
+        for index in agents {
+            self.links.get_mut(index).pending_fences.push(fence);
         }
         self.finish_recovery(now, number, effects);
     }
@@ -59,30 +59,30 @@
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
-        let current = submission.id == recovered.fence.submission;
-        if !current {
+        let is_current = submission.id == recovered.fence.submission;
+        if !is_current {
             return;
         }
         submission.fenced_at.insert(index);
         // An incarnation younger than the submission cannot speak for the
         // one before it.
-        submission.unaccounted |= started > submission.accepted;
+        submission.starts_unknown |= started > submission.accepted;
         let mut failed = None;
-        for (task, fate) in recovered.tasks {
-            match fate {
-                Fate::Running => {
+        for (task, status) in recovered.tasks {
+            match status {
+                DispatchStatus::Running => {
                     submission.running_at.insert(task, index);
                 }
-                Fate::Finished {
+                DispatchStatus::Finished {
                     outcome: TaskOutcome::Output(output),
                     ..
-                } => submission.put(task, output),
-                Fate::Finished {
+                } => submission.set_output(task, output),
+                DispatchStatus::Finished {
                     outcome: TaskOutcome::Failed,
                     ..
                 } => failed = Some(Reason::TaskFailed),
-                Fate::Finished { .. } => failed = Some(Reason::WorkerLost),
-                Fate::NeverReceived => {}
+                DispatchStatus::Finished { .. } => failed = Some(Reason::WorkerLost),
+                DispatchStatus::NeverReceived => {}
             }
         }
         if let Phase::Recovering(awaited) = &mut submission.phase {
@@ -107,11 +107,11 @@
         if !awaited.is_empty() {
             return;
         }
-        if submission.missing().is_empty() {
+        if submission.missing_tasks().is_empty() {
             submission.phase = Phase::Collecting;
             return;
         }
-        if submission.unaccounted {
+        if submission.starts_unknown {
             let failure = Failure::may_have_run(Reason::WorkerLost);
             self.answer(now, number, Err(failure), effects);
             return;
@@ -121,11 +121,11 @@
 
     /// After a new session to an agent: asks again what it has of the
     /// submissions that wait for its word.
-    pub(super) fn recover_again(&mut self, index: LinkIndex) {
+    pub(super) fn requeue_recovery(&mut self, index: LinkIndex) {
         let fences: Vec<Fence> = self
             .submissions
             .values()
-            .filter(|submission| waits_for(submission, index))
+            .filter(|submission| awaits_agent(submission, index))
             .map(|submission| Fence {
                 submission: submission.id,
                 delegation: match submission.phase {
@@ -134,7 +134,7 @@
                 },
             })
             .collect();
-        self.links.get_mut(index).recover = fences;
+        self.links.get_mut(index).pending_fences = fences;
     }
 
     /// An agent's incarnation is gone: nothing can be learned of what it had.
@@ -148,14 +148,14 @@
         let affected: Vec<u64> = self
             .submissions
             .iter()
-            .filter(|(_, submission)| waits_for(submission, index))
+            .filter(|(_, submission)| awaits_agent(submission, index))
             .map(|(number, _)| *number)
             .collect();
         for number in affected {
             let Some(submission) = self.submissions.get_mut(&number) else {
                 continue;
             };
-            submission.unaccounted = true;
+            submission.starts_unknown = true;
             if submission.running_at.values().any(|at| *at == index) {
                 let failure = Failure::may_have_run(Reason::WorkerLost);
                 self.answer(now, number, Err(failure), effects);
@@ -177,7 +177,7 @@
     link.pool == submission.pool && !(gone_before && link.session.is_none())
 }
 
-fn waits_for(submission: &Submission, index: LinkIndex) -> bool {
+fn awaits_agent(submission: &Submission, index: LinkIndex) -> bool {
     let awaited = match &submission.phase {
         Phase::Recovering(awaited) => awaited.contains(&index),
         _ => false,
--- a/laurelstile-core/src/gateway/scheduler/delegations.rs
+++ b/laurelstile-core/src/gateway/scheduler/delegations.rs
@@ -7,7 +7,7 @@
 use laurelstile_types::time::Timestamp;
 
 use super::super::links::Links;
-use super::{SEND_BACK_AFTER, Scheduler, release};
+use super::{SEND_BACK_DELAY, Scheduler, queue_release};
 use crate::messages::peer::{DelegationEnd, DelegationKey, DelegationOutcome};
 
 impl Scheduler {
@@ -25,22 +25,22 @@
     /// Sends back the jobs of which nothing was sent out and that no agent
     /// takes, since all joined the pool after the delegation. A new delegation
     /// of them is younger than those agents.
-    pub fn send_back_too_old(&mut self, now: Timestamp, links: &mut Links) {
-        let too_old: Vec<SubmissionId> = self
+    pub fn send_back_stale(&mut self, now: Timestamp, links: &mut Links) {
+        let stale: Vec<SubmissionId> = self
             .jobs
             .values()
-            .filter(|job| job.touched.is_empty() && job.delegated.is_some())
-            .filter(|job| links.all_younger(&job.pool, job.delegated.unwrap_or_default()))
-            .filter(|job| now.since(job.arrival) > SEND_BACK_AFTER)
+            .filter(|job| job.contacted.is_empty() && job.delegated.is_some())
+            .filter(|job| links.all_joined_after(&job.pool, job.delegated.unwrap_or_default()))
+            .filter(|job| now.since(job.arrival) > SEND_BACK_DELAY)
             .map(|job| job.key.submission)
             .collect();
-        for submission in too_old {
+        for submission in stale {
             if let Some(job) = self.remove(submission, links) {
                 let end = DelegationEnd {
                     key: job.key,
                     outcome: DelegationOutcome::SentBack,
                 };
-                self.tell(job.entry, end, job.touched);
+                self.record_end(job.entry, end, job.contacted);
             }
         }
     }
@@ -50,7 +50,7 @@
         if self.jobs.get(&key.submission).map(|job| job.key) == Some(key) {
             self.cancel_running(key.submission, links);
             if let Some(job) = self.remove(key.submission, links) {
-                release(key.submission, &job.touched, links);
+                queue_release(key.submission, &job.contacted, links);
             }
         }
         self.acknowledge(key.submission, links);
@@ -59,7 +59,7 @@
     /// The entry gateway has the end of a job: agents may forget it.
     pub fn acknowledge(&mut self, submission: SubmissionId, links: &mut Links) {
         if let Some(ended) = self.ended.remove(&submission) {
-            release(submission, &ended.touched, links);
+            queue_release(submission, &ended.contacted, links);
         }
     }
 
@@ -67,25 +67,25 @@
     pub fn supersede(&mut self, fence: DelegationKey, links: &mut Links) {
         let current = self.jobs.get(&fence.submission).map(|job| job.key);
         if current.is_some_and(|key| key.delegation < fence.delegation) {
-            self.forget_everywhere(fence.submission, links);
+            self.discard(fence.submission, links);
         }
     }
 
-    /// Forgets the jobs of `entry` that are not among `kept`, since that
+    /// Forgets the jobs of `entry` that are not among `outstanding`, since that
     /// gateway has recovered or given up the others.
-    pub fn keep_only(
+    pub fn retain_delegations(
         &mut self,
         entry: Incarnation,
-        kept: &BTreeSet<DelegationKey>,
+        outstanding: &BTreeSet<DelegationKey>,
         links: &mut Links,
     ) {
         for key in self.keys_of(entry) {
-            if !kept.contains(&key) {
-                self.forget_everywhere(key.submission, links);
+            if !outstanding.contains(&key) {
+                self.discard(key.submission, links);
             }
         }
         self.ended
-            .retain(|_, ended| ended.entry != entry || kept.contains(&ended.end.key));
+            .retain(|_, ended| ended.entry != entry || outstanding.contains(&ended.end.key));
     }
 
     /// The entry gateway is gone: nobody waits for its jobs. Agents are not
@@ -93,7 +93,7 @@
     pub fn on_entry_lost(&mut self, entry: Incarnation, links: &mut Links) {
         for key in self.keys_of(entry) {
             self.cancel_running(key.submission, links);
-            self.forget_everywhere(key.submission, links);
+            self.discard(key.submission, links);
         }
         self.ended.retain(|_, ended| ended.entry != entry);
     }
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -13,13 +13,13 @@
 use laurelstile_types::outcome::{Failure, Reason, RunState};
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::job::{ClassMean, Job};
+use super::job::{Job, MeanRunTime};
 use super::links::{LinkIndex, Links};
 use super::queue::Queue;
 use crate::messages::peer::{Delegation, DelegationEnd, DelegationKey, DelegationOutcome};
 
 /// How long a job waits before it is sent back as too old for every agent.
-const SEND_BACK_AFTER: Span = Span::from_millis(200);
+const SEND_BACK_DELAY: Span = Span::from_millis(200);
 
 /// Where a delegation comes from.
 #[derive(Clone, Copy, Debug)]
@@ -33,15 +33,15 @@
 
 /// A job whose end the entry gateway has not acknowledged.
 #[derive(Debug)]
-struct Ended {
+struct EndedJob {
     entry: Incarnation,
     end: DelegationEnd,
-    touched: BTreeSet<LinkIndex>,
+    contacted: BTreeSet<LinkIndex>,
 }
 
 /// An end that is to be told to an entry gateway.
 #[derive(Debug)]
-pub struct EndFor {
+pub struct PendingEnd {
     /// Incarnation of the entry gateway.
     pub entry: Incarnation,
     /// The end.
@@ -54,9 +54,9 @@
     queues: BTreeMap<PoolName, Queue>,
     jobs: BTreeMap<SubmissionId, Job>,
     deadlines: BTreeSet<(Timestamp, SubmissionId)>,
-    ended: BTreeMap<SubmissionId, Ended>,
-    means: BTreeMap<(ServiceName, ClassName), ClassMean>,
-    ends: Vec<EndFor>,
+    ended: BTreeMap<SubmissionId, EndedJob>,
+    mean_run_times: BTreeMap<(ServiceName, ClassName), MeanRunTime>,
+    pending_ends: Vec<PendingEnd>,
     late_results: u64,
 }
 
@@ -111,17 +111,17 @@
     }
 
     /// Whether that very delegation is here, ended or not.
-    pub fn has(&self, key: DelegationKey) -> bool {
+    pub fn contains(&self, key: DelegationKey) -> bool {
         let running = self.jobs.get(&key.submission).map(|job| job.key);
         let ended = self.ended.get(&key.submission).map(|ended| ended.end.key);
         running == Some(key) || ended == Some(key)
     }
 
     /// Whether a task of `submission` is unresolved here.
-    pub fn runs(&self, dispatch: DispatchId) -> bool {
+    pub fn is_running(&self, dispatch: DispatchId) -> bool {
         self.jobs
             .get(&dispatch.submission)
-            .is_some_and(|job| job.runs(dispatch))
+            .is_some_and(|job| job.is_running(dispatch))
     }
 
     /// Takes a job in, whole or not at all.
@@ -137,8 +137,9 @@
         links: &mut Links,
     ) -> Result<(), Failure> {
         // An older delegation of the same submission has been recovered.
-        self.forget_everywhere(delegation.key.submission, links);
-        let task_mean = self.task_mean(configuration, &delegation.service, &delegation.class);
+        self.discard(delegation.key.submission, links);
+        let mean_run_time =
+            self.mean_run_time(configuration, &delegation.service, &delegation.class);
         let weight = configuration
             .tenant(&delegation.tenant)
             .map_or(1, |tenant| tenant.weight);
@@ -153,13 +154,13 @@
             arrival: now,
             delegated: origin.delegated,
             deadline: now.after(delegation.time_left),
-            task_mean,
+            mean_run_time,
             task_count: delegation.tasks.len(),
             waiting: delegation.tasks.into(),
             running: BTreeMap::new(),
             outputs: Vec::new(),
-            touched: BTreeSet::new(),
-            place: None,
+            contacted: BTreeSet::new(),
+            rank: None,
         };
         // A recovered submission was admitted before.
         let is_first = job.key.delegation == FIRST_DELEGATION;
@@ -168,9 +169,9 @@
         }
         let submission = job.key.submission;
         self.deadlines.insert((job.deadline, submission));
-        self.enqueue_tasks(&job.pool, &job.tenant, job.waiting.len(), job.task_mean);
+        self.enqueue_tasks(&job.pool, &job.tenant, job.waiting.len(), job.mean_run_time);
         self.jobs.insert(submission, job);
-        self.replace(submission);
+        self.update_rank(submission);
         Ok(())
     }
 
@@ -199,13 +200,13 @@
         if queue.queued_tasks_of(&job.tenant).saturating_add(tasks) > limit {
             return refuse(Reason::TenantOverQuota);
         }
-        let place = queue.place(job.claim());
-        let before = queue.backlog_before(place, |submission| {
+        let rank = queue.rank(job.rank_input());
+        let before = queue.backlog_before(rank, |submission| {
             self.jobs
                 .get(&submission)
                 .map_or(Span::default(), Job::remaining)
         });
-        let own = Span(job.remaining().0 / u64::from(queue.slots())).max(job.task_mean);
+        let own = Span(job.remaining().0 / u64::from(queue.slots())).max(job.mean_run_time);
         if before.0 + own.0 > time_left.0 {
             return refuse(Reason::DeadlineUnreachable);
         }
@@ -213,8 +214,8 @@
     }
 
     /// Takes the ends that are to be told.
-    pub fn take_ends(&mut self) -> Vec<EndFor> {
-        std::mem::take(&mut self.ends)
+    pub fn take_pending_ends(&mut self) -> Vec<PendingEnd> {
+        std::mem::take(&mut self.pending_ends)
     }
 
     fn queue(&mut self, pool: &PoolName, slots: u32) -> &mut Queue {
@@ -231,21 +232,21 @@
         }
     }
 
-    /// Puts a job at the place that its remaining work gives.
-    fn replace(&mut self, submission: SubmissionId) {
+    /// Puts a job at the rank that its remaining work gives.
+    fn update_rank(&mut self, submission: SubmissionId) {
         let Some(job) = self.jobs.get_mut(&submission) else {
             return;
         };
         let Some(queue) = self.queues.get_mut(&job.pool) else {
             return;
         };
-        if let Some(place) = job.place.take() {
-            queue.remove(&job.tenant, place, submission);
+        if let Some(rank) = job.rank.take() {
+            queue.remove(&job.tenant, rank, submission);
         }
         if !job.waiting.is_empty() {
-            let place = queue.place(job.claim());
-            queue.insert(&job.tenant, place, submission);
-            job.place = Some(place);
+            let rank = queue.rank(job.rank_input());
+            queue.insert(&job.tenant, rank, submission);
+            job.rank = Some(rank);
         }
     }
 
@@ -258,7 +259,7 @@
             key: job.key,
             outcome: DelegationOutcome::Complete(job.outputs),
         };
-        self.tell(job.entry, end, job.touched);
+        self.record_end(job.entry, end, job.contacted);
     }
 
     fn fail(&mut self, submission: SubmissionId, reason: Reason, links: &mut Links) {
@@ -270,14 +271,14 @@
         } else {
             Failure::may_have_run(reason)
         };
-        self.end_with(submission, failure, links);
+        self.fail_with(submission, failure, links);
     }
 
     fn fail_after_run(&mut self, submission: SubmissionId, reason: Reason, links: &mut Links) {
-        self.end_with(submission, Failure::may_have_run(reason), links);
+        self.fail_with(submission, Failure::may_have_run(reason), links);
     }
 
-    fn end_with(&mut self, submission: SubmissionId, failure: Failure, links: &mut Links) {
+    fn fail_with(&mut self, submission: SubmissionId, failure: Failure, links: &mut Links) {
         self.cancel_running(submission, links);
         let Some(job) = self.remove(submission, links) else {
             return;
@@ -287,18 +288,23 @@
             key: job.key,
             outcome: DelegationOutcome::Failed(failure),
         };
-        self.tell(job.entry, end, job.touched);
+        self.record_end(job.entry, end, job.contacted);
     }
 
-    fn tell(&mut self, entry: Incarnation, end: DelegationEnd, touched: BTreeSet<LinkIndex>) {
-        self.ends.push(EndFor {
+    fn record_end(
+        &mut self,
+        entry: Incarnation,
+        end: DelegationEnd,
+        contacted: BTreeSet<LinkIndex>,
+    ) {
+        self.pending_ends.push(PendingEnd {
             entry,
             end: end.clone(),
         });
-        let ended = Ended {
+        let ended = EndedJob {
             entry,
             end,
-            touched,
+            contacted,
         };
         self.ended.insert(ended.end.key.submission, ended);
     }
@@ -310,7 +316,7 @@
         };
         let at: BTreeSet<LinkIndex> = job.running.values().map(|running| running.link).collect();
         for link in at {
-            links.get_mut(link).cancel.push(submission);
+            links.get_mut(link).pending_cancels.push(submission);
         }
     }
 
@@ -319,13 +325,13 @@
         let job = self.jobs.remove(&submission)?;
         self.deadlines.remove(&(job.deadline, submission));
         if let Some(queue) = self.queues.get_mut(&job.pool) {
-            if let Some(place) = job.place {
-                queue.remove(&job.tenant, place, submission);
+            if let Some(rank) = job.rank {
+                queue.remove(&job.tenant, rank, submission);
             }
             let waiting = u32::try_from(job.waiting.len()).unwrap_or(u32::MAX);
             queue.remove_tasks(&job.tenant, waiting, job.remaining());
             for _ in &job.running {
-                queue.vacate(&job.tenant);
+                queue.vacate_slot(&job.tenant);
             }
         }
         for (task, running) in &job.running {
@@ -339,7 +345,7 @@
         Some(job)
     }
 
-    fn forget_everywhere(&mut self, submission: SubmissionId, links: &mut Links) {
+    fn discard(&mut self, submission: SubmissionId, links: &mut Links) {
         self.remove(submission, links);
         self.ended.remove(&submission);
     }
@@ -348,8 +354,8 @@
 /// Number of the first delegation of every submission.
 pub const FIRST_DELEGATION: u32 = 1;
 
-fn release(submission: SubmissionId, touched: &BTreeSet<LinkIndex>, links: &mut Links) {
-    for link in touched {
-        links.get_mut(*link).release.push(submission);
+fn queue_release(submission: SubmissionId, contacted: &BTreeSet<LinkIndex>, links: &mut Links) {
+    for link in contacted {
+        links.get_mut(*link).pending_releases.push(submission);
     }
 }
--- a/laurelstile-core/src/gateway/scheduler/tasks.rs
+++ b/laurelstile-core/src/gateway/scheduler/tasks.rs
@@ -7,10 +7,10 @@
 use laurelstile_types::outcome::Reason;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::job::{ClassMean, Running};
+use super::super::job::{MeanRunTime, RunningTask};
 use super::super::links::{Link, LinkIndex, Links};
 use super::Scheduler;
-use crate::messages::agent::{Fate, NotStartedReason, StartTask, TaskOutcome};
+use crate::messages::agent::{DispatchStatus, NotStartedReason, StartTask, TaskOutcome};
 use crate::messages::peer::{DelegatedTask, TaskOutput};
 
 impl Scheduler {
@@ -22,10 +22,10 @@
     ) -> BTreeMap<LinkIndex, Vec<StartTask>> {
         let mut starts: BTreeMap<LinkIndex, Vec<StartTask>> = BTreeMap::new();
         for (pool, _) in self.waiting() {
-            let mut passed_over = BTreeSet::new();
-            while let Some(link) = links.preferred(&pool, &passed_over) {
-                let Some(submission) = self.next_for(now, &pool, links.get(link)) else {
-                    passed_over.insert(link);
+            let mut skipped = BTreeSet::new();
+            while let Some(link) = links.preferred(&pool, &skipped) {
+                let Some(submission) = self.next_submission_for(now, &pool, links.get(link)) else {
+                    skipped.insert(link);
                     continue;
                 };
                 match self.start_next(now, submission, link, links) {
@@ -38,7 +38,7 @@
     }
 
     /// The job whose task goes next to an agent.
-    pub(super) fn next_for(
+    pub(super) fn next_submission_for(
         &self,
         now: Timestamp,
         pool: &PoolName,
@@ -48,7 +48,7 @@
         queue.next(|submission| {
             self.jobs
                 .get(&submission)
-                .is_some_and(|job| link.takes(job.age(now)))
+                .is_some_and(|job| link.accepts_age(job.age(now)))
         })
     }
 
@@ -71,12 +71,12 @@
             task: task.index,
             delegation: job.key.delegation,
         };
-        let running = Running {
+        let running = RunningTask {
             link,
             input: task.input.clone(),
         };
         job.running.insert(task.index, running);
-        job.touched.insert(link);
+        job.contacted.insert(link);
         let start = StartTask {
             dispatch,
             service: job.service.clone(),
@@ -86,19 +86,19 @@
             input: task.input,
         };
         if let Some(queue) = self.queues.get_mut(&job.pool) {
-            queue.remove_tasks(&job.tenant, 1, job.task_mean);
-            queue.occupy(&job.tenant);
+            queue.remove_tasks(&job.tenant, 1, job.mean_run_time);
+            queue.occupy_slot(&job.tenant);
         }
-        self.replace(submission);
+        self.update_rank(submission);
         let agent = links.get_mut(link);
         agent.unresolved.insert(dispatch);
-        agent.sent += 1;
+        agent.starts_sent += 1;
         links.refresh(now, link);
         Some(start)
     }
 
     /// A task has ended.
-    pub fn on_end_of_task(
+    pub fn on_task_ended(
         &mut self,
         now: Timestamp,
         dispatch: DispatchId,
@@ -106,14 +106,14 @@
         outcome: TaskOutcome,
         links: &mut Links,
     ) {
-        let Some(link) = self.vacate(dispatch, links) else {
+        let Some(link) = self.resolve(dispatch, links) else {
             self.late_results += 1;
             return;
         };
         let submission = dispatch.submission;
         match outcome {
             TaskOutcome::Output(output) => {
-                self.learn(submission, link, run, links);
+                self.record_run_time(submission, link, run, links);
                 let Some(job) = self.jobs.get_mut(&submission) else {
                     return;
                 };
@@ -145,11 +145,11 @@
             NotStartedReason::Fenced => {
                 let current = self.jobs.get(&dispatch.submission).map(|job| job.key);
                 if current.is_some_and(|key| key.delegation == dispatch.delegation) {
-                    self.forget_everywhere(dispatch.submission, links);
+                    self.discard(dispatch.submission, links);
                 }
             }
             NotStartedReason::Duplicate => {
-                self.vacate(dispatch, links);
+                self.resolve(dispatch, links);
                 self.fail_after_run(dispatch.submission, Reason::WorkerLost, links);
             }
             NotStartedReason::Full
@@ -162,14 +162,20 @@
     }
 
     /// The fate of a dispatch of an earlier session is known.
-    pub fn on_fate(&mut self, now: Timestamp, dispatch: DispatchId, fate: Fate, links: &mut Links) {
-        match fate {
-            Fate::Running => {}
-            Fate::NeverReceived => self.requeue(now, dispatch, links),
-            Fate::Finished {
+    pub fn on_reconciled(
+        &mut self,
+        now: Timestamp,
+        dispatch: DispatchId,
+        status: DispatchStatus,
+        links: &mut Links,
+    ) {
+        match status {
+            DispatchStatus::Running => {}
+            DispatchStatus::NeverReceived => self.requeue(now, dispatch, links),
+            DispatchStatus::Finished {
                 run_micros,
                 outcome,
-            } => self.on_end_of_task(now, dispatch, Span(run_micros), outcome, links),
+            } => self.on_task_ended(now, dispatch, Span(run_micros), outcome, links),
         }
     }
 
@@ -186,15 +192,15 @@
     }
 
     /// Notes that a dispatch is resolved; gives its link if the job is here.
-    pub(super) fn vacate(&mut self, dispatch: DispatchId, links: &mut Links) -> Option<LinkIndex> {
+    pub(super) fn resolve(&mut self, dispatch: DispatchId, links: &mut Links) -> Option<LinkIndex> {
         let job = self.jobs.get_mut(&dispatch.submission)?;
-        if !job.runs(dispatch) {
+        if !job.is_running(dispatch) {
             return None;
         }
         let running = job.running.remove(&dispatch.task)?;
         links.get_mut(running.link).unresolved.remove(&dispatch);
         if let Some(queue) = self.queues.get_mut(&job.pool) {
-            queue.vacate(&job.tenant);
+            queue.vacate_slot(&job.tenant);
         }
         Some(running.link)
     }
@@ -204,10 +210,10 @@
         let input = self
             .jobs
             .get(&submission)
-            .filter(|job| job.runs(dispatch))
+            .filter(|job| job.is_running(dispatch))
             .and_then(|job| job.running.get(&dispatch.task))
             .map(|running| running.input.clone());
-        let (Some(input), Some(link)) = (input, self.vacate(dispatch, links)) else {
+        let (Some(input), Some(link)) = (input, self.resolve(dispatch, links)) else {
             return;
         };
         if let Some(job) = self.jobs.get_mut(&submission) {
@@ -215,20 +221,20 @@
                 index: dispatch.task,
                 input,
             });
-            let (pool, tenant, mean) = (job.pool.clone(), job.tenant.clone(), job.task_mean);
+            let (pool, tenant, mean) = (job.pool.clone(), job.tenant.clone(), job.mean_run_time);
             self.enqueue_tasks(&pool, &tenant, 1, mean);
         }
-        self.replace(submission);
+        self.update_rank(submission);
         links.refresh(now, link);
     }
 
-    pub(super) fn task_mean(
+    pub(super) fn mean_run_time(
         &self,
         configuration: &Configuration,
         service: &ServiceName,
         class: &ClassName,
     ) -> Span {
-        if let Some(mean) = self.means.get(&(service.clone(), class.clone())) {
+        if let Some(mean) = self.mean_run_times.get(&(service.clone(), class.clone())) {
             return mean.span();
         }
         configuration
@@ -239,7 +245,7 @@
             })
     }
 
-    pub(super) fn learn(
+    pub(super) fn record_run_time(
         &mut self,
         submission: SubmissionId,
         link: LinkIndex,
@@ -251,10 +257,10 @@
         };
         let key = (job.service.clone(), job.class.clone());
         let mean = self
-            .means
+            .mean_run_times
             .entry(key)
-            .or_insert_with(|| ClassMean::from(job.task_mean));
-        mean.learn(run);
-        links.get_mut(link).note_run(run, mean.span());
+            .or_insert_with(|| MeanRunTime::from(job.mean_run_time));
+        mean.record_run_time(run);
+        links.get_mut(link).update_slowness(run, mean.span());
     }
 }
--- a/laurelstile-core/src/gateway/submission.rs
+++ b/laurelstile-core/src/gateway/submission.rs
@@ -44,9 +44,9 @@
 
 /// Which gateway schedules a delegation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Holder {
+pub enum AssignedScheduler {
     /// This one.
-    Own,
+    Local,
     /// Another.
     Peer(GatewayName),
 }
@@ -57,7 +57,7 @@
     /// Waits for its claim in the platform's table.
     Claiming,
     /// A scheduler has it.
-    Delegated(Holder),
+    Delegated(AssignedScheduler),
     /// The scheduler was lost; these agents have yet to say what they started.
     Recovering(BTreeSet<LinkIndex>),
     /// Only tasks that agents report directly are left.
@@ -94,7 +94,7 @@
     /// Agents that keep a fence for it.
     pub fenced_at: BTreeSet<LinkIndex>,
     /// Whether an agent's memory of it was lost.
-    pub unaccounted: bool,
+    pub starts_unknown: bool,
     /// The claim, where it has one.
     pub claim: Option<ClaimRequest>,
 }
@@ -109,7 +109,7 @@
     }
 
     /// Tasks that neither have an output nor run under a direct report.
-    pub fn missing(&self) -> Vec<DelegatedTask> {
+    pub fn missing_tasks(&self) -> Vec<DelegatedTask> {
         let mut missing = Vec::new();
         for (index, output) in (0..).zip(&self.outputs) {
             if output.is_none() && !self.running_at.contains_key(&index) {
@@ -129,14 +129,16 @@
 
     /// Whether it is known that tasks of it were started.
     pub fn has_run(&self) -> bool {
-        self.unaccounted || !self.running_at.is_empty() || self.outputs.iter().any(Option::is_some)
+        self.starts_unknown
+            || !self.running_at.is_empty()
+            || self.outputs.iter().any(Option::is_some)
     }
 
     /// Notes the output of a task.
-    pub fn put(&mut self, index: TaskIndex, output: Payload) {
+    pub fn set_output(&mut self, index: TaskIndex, output: Payload) {
         self.running_at.remove(&index);
-        if let Some(place) = self.outputs.get_mut(index as usize) {
-            *place = Some(output);
+        if let Some(output_slot) = self.outputs.get_mut(index as usize) {
+            *output_slot = Some(output);
         }
     }
 }
--- a/laurelstile-core/src/messages/agent.rs
+++ b/laurelstile-core/src/messages/agent.rs
@@ -210,12 +210,13 @@
     /// The dispatch.
     pub dispatch: DispatchId,
     /// What became of it.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub status: DispatchStatus,
 }
 
 /// What became of a dispatch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum DispatchStatus {
     /// It never came, and now never will: its session is closed.
     NeverReceived,
     /// It runs.
@@ -236,5 +237,5 @@
     pub fence: Fence,
     /// Tasks that were started; no other ever will be under an older
     /// delegation.
-    pub tasks: Vec<(TaskIndex, Fate)>,
+    pub tasks: Vec<(TaskIndex, DispatchStatus)>,
 }
--- a/laurelstile-core/tests/agent.rs
+++ b/laurelstile-core/tests/agent.rs
@@ -4,7 +4,8 @@
 
 use laurelstile_core::agent::{Agent, AgentEffect, AgentEvent, BACKEND_BACKOFF, RunEnd};
 use laurelstile_core::messages::agent::{
-    Fate, Fence, FromAgentBody, NotStartedReason, StartTask, TaskOutcome, ToAgent, ToAgentBody,
+    DispatchStatus, Fence, FromAgentBody, NotStartedReason, StartTask, TaskOutcome, ToAgent,
+    ToAgentBody,
 };
 use laurelstile_core::payload::Payload;
 use laurelstile_core::session::SessionId;
@@ -21,26 +22,26 @@
 const SLOTS: u32 = 2;
 
 /// An agent in its pool, with sessions of a scheduler and an entry gateway.
-struct Bench {
+struct Harness {
     agent: Agent,
     now: Timestamp,
     effects: Vec<AgentEffect>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             agent: Agent::new("w1".into()),
             now: Timestamp(1_000_000),
             effects: Vec::new(),
         };
         for (session, gateway) in [(SESSION, SCHEDULER), (ENTRY_SESSION, ENTRY)] {
-            bench.handle(AgentEvent::Opened { session, gateway });
+            harness.handle(AgentEvent::Opened { session, gateway });
         }
-        bench.tell(SESSION, ToAgentBody::Revision(revision(None)));
-        bench.pass(Span::from_secs(20));
-        bench.effects.clear();
-        bench
+        harness.send(SESSION, ToAgentBody::Revision(revision(None)));
+        harness.advance(Span::from_secs(20));
+        harness.effects.clear();
+        harness
     }
 
     fn handle(&mut self, event: AgentEvent) {
@@ -48,15 +49,15 @@
         self.agent.flush(self.now, &mut self.effects);
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         self.now = self.now.after(span);
     }
 
-    fn tell(&mut self, session: SessionId, body: ToAgentBody) {
-        self.tell_with(session, self.now, 9, Vec::new(), body);
+    fn send(&mut self, session: SessionId, body: ToAgentBody) {
+        self.send_with(session, self.now, 9, Vec::new(), body);
     }
 
-    fn tell_with(
+    fn send_with(
         &mut self,
         session: SessionId,
         echo: Timestamp,
@@ -75,7 +76,7 @@
 
     fn start(&mut self, session: SessionId, task: u32, delegation: u32) {
         let tasks = vec![start_task(task, delegation, Span::from_millis(10))];
-        self.tell(session, ToAgentBody::Start(tasks));
+        self.send(session, ToAgentBody::Start(tasks));
     }
 
     fn finish(&mut self, task: u32, end: RunEnd) {
@@ -84,7 +85,7 @@
     }
 
     /// The dispatches run since the last look.
-    fn runs(&mut self) -> Vec<u32> {
+    fn started_tasks(&mut self) -> Vec<u32> {
         let runs = self.effects.iter().filter_map(|effect| match effect {
             AgentEffect::Run { dispatch, .. } => Some(dispatch.task),
             _ => None,
@@ -117,7 +118,7 @@
     }
 
     /// What the agent said it had started, at the last recovery.
-    fn recovered(&mut self) -> Vec<(u32, Fate)> {
+    fn recovered(&mut self) -> Vec<(u32, DispatchStatus)> {
         let mut tasks = Vec::new();
         for effect in &self.effects {
             if let AgentEffect::Send { message, .. } = effect
@@ -194,16 +195,16 @@
 
 #[test]
 fn it_starts_what_fits_and_offers_a_freed_slot_to_who_waits() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     for task in 0..3 {
-        bench.start(SESSION, task, 1);
+        harness.start(SESSION, task, 1);
     }
-    assert_eq!(bench.runs(), [0, 1]);
-    assert_eq!(bench.refusals(), [NotStartedReason::Full]);
-    bench.effects.clear();
-    bench.finish(0, output());
-    assert_eq!(bench.result_sessions(), [SESSION]);
-    let free = bench.effects.iter().find_map(|effect| match effect {
+    assert_eq!(harness.started_tasks(), [0, 1]);
+    assert_eq!(harness.refusals(), [NotStartedReason::Full]);
+    harness.effects.clear();
+    harness.finish(0, output());
+    assert_eq!(harness.result_sessions(), [SESSION]);
+    let free = harness.effects.iter().find_map(|effect| match effect {
         AgentEffect::Send { message, .. } => Some(message.report.free),
         _ => None,
     });
@@ -212,54 +213,60 @@
 
 #[test]
 fn a_task_is_never_started_twice() {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.start(SESSION, 0, 1);
-    bench.finish(0, output());
-    bench.start(SESSION, 0, 1);
-    assert_eq!(bench.runs(), [0]);
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.start(SESSION, 0, 1);
+    harness.finish(0, output());
+    harness.start(SESSION, 0, 1);
+    assert_eq!(harness.started_tasks(), [0]);
     let duplicate = NotStartedReason::Duplicate;
-    assert_eq!(bench.refusals(), [duplicate, duplicate]);
+    assert_eq!(harness.refusals(), [duplicate, duplicate]);
 }
 
 #[test]
 fn a_fence_refuses_the_lost_scheduler_and_redirects_its_results() {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.tell(ENTRY_SESSION, recover(2));
-    assert_eq!(bench.recovered(), [(0, Fate::Running)]);
-    bench.start(SESSION, 1, 1);
-    assert_eq!(bench.refusals(), [NotStartedReason::Fenced]);
-    bench.finish(0, output());
-    assert_eq!(bench.result_sessions(), [ENTRY_SESSION]);
-    bench.start(ENTRY_SESSION, 1, 2);
-    assert_eq!(bench.runs(), [0, 1]);
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.send(ENTRY_SESSION, recover(2));
+    assert_eq!(harness.recovered(), [(0, DispatchStatus::Running)]);
+    harness.start(SESSION, 1, 1);
+    assert_eq!(harness.refusals(), [NotStartedReason::Fenced]);
+    harness.finish(0, output());
+    assert_eq!(harness.result_sessions(), [ENTRY_SESSION]);
+    harness.start(ENTRY_SESSION, 1, 2);
+    assert_eq!(harness.started_tasks(), [0, 1]);
 }
 
 #[test]
 fn a_released_submission_that_was_fenced_stays_closed() {
-    let mut bench = Bench::new();
-    bench.tell(ENTRY_SESSION, recover(2));
+    let mut harness = Harness::new();
+    harness.send(ENTRY_SESSION, recover(2));
     let release = vec![submission()];
-    bench.tell_with(ENTRY_SESSION, bench.now, 9, release, ToAgentBody::Heartbeat);
-    bench.start(SESSION, 0, 1);
-    bench.start(SESSION, 1, 2);
-    assert!(bench.runs().is_empty());
+    harness.send_with(
+        ENTRY_SESSION,
+        harness.now,
+        9,
+        release,
+        ToAgentBody::Heartbeat,
+    );
+    harness.start(SESSION, 0, 1);
+    harness.start(SESSION, 1, 2);
+    assert!(harness.started_tasks().is_empty());
     let fenced = NotStartedReason::Fenced;
-    assert_eq!(bench.refusals(), [fenced, fenced]);
+    assert_eq!(harness.refusals(), [fenced, fenced]);
 }
 
 #[test]
 fn an_output_is_kept_until_it_is_released() {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.finish(0, output());
-    bench.tell(ENTRY_SESSION, recover(2));
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.finish(0, output());
+    harness.send(ENTRY_SESSION, recover(2));
     assert!(matches!(
-        bench.recovered().as_slice(),
+        harness.recovered().as_slice(),
         [(
             0,
-            Fate::Finished {
+            DispatchStatus::Finished {
                 outcome: TaskOutcome::Output(_),
                 ..
             }
@@ -269,13 +276,13 @@
 
 #[test]
 fn memory_of_released_submissions_is_freed() {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.finish(0, output());
-    assert_eq!(bench.agent.remembered(), 1);
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.finish(0, output());
+    assert_eq!(harness.agent.record_count(), 1);
     let release = vec![submission()];
-    bench.tell_with(SESSION, bench.now, 9, release, ToAgentBody::Heartbeat);
-    assert_eq!(bench.agent.remembered(), 0);
+    harness.send_with(SESSION, harness.now, 9, release, ToAgentBody::Heartbeat);
+    assert_eq!(harness.agent.record_count(), 0);
 }
 
 #[rstest]
@@ -288,94 +295,94 @@
     #[case] age_millis: u64,
     #[case] reason: NotStartedReason,
 ) {
-    let mut bench = Bench::new();
-    let echo = Timestamp(bench.now.0 - echo_millis_ago * 1_000);
+    let mut harness = Harness::new();
+    let echo = Timestamp(harness.now.0 - echo_millis_ago * 1_000);
     let tasks = vec![start_task(0, 1, Span::from_millis(age_millis))];
-    bench.tell_with(
+    harness.send_with(
         SESSION,
         echo,
         revision,
         Vec::new(),
         ToAgentBody::Start(tasks),
     );
-    assert!(bench.runs().is_empty());
-    assert_eq!(bench.refusals(), [reason]);
+    assert!(harness.started_tasks().is_empty());
+    assert_eq!(harness.refusals(), [reason]);
 }
 
 #[rstest]
 #[case::drained(ToAgentBody::Revision(revision(Some("w1"))))]
 #[case::leaving(ToAgentBody::Leaving)]
 fn a_leaving_agent_finishes_but_starts_nothing(#[case] order: ToAgentBody) {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.tell(ENTRY_SESSION, order);
-    bench.start(SESSION, 1, 1);
-    assert_eq!(bench.runs(), [0]);
-    assert_eq!(bench.refusals(), [NotStartedReason::Draining]);
-    bench.finish(0, output());
-    assert_eq!(bench.result_sessions(), [SESSION]);
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.send(ENTRY_SESSION, order);
+    harness.start(SESSION, 1, 1);
+    assert_eq!(harness.started_tasks(), [0]);
+    assert_eq!(harness.refusals(), [NotStartedReason::Draining]);
+    harness.finish(0, output());
+    assert_eq!(harness.result_sessions(), [SESSION]);
 }
 
 #[test]
 fn a_planned_stop_waits_for_runs_and_for_outputs_to_be_released() {
-    let mut bench = Bench::new();
-    let is_stopped = |bench: &Bench| {
-        let effects = bench.effects.iter();
+    let mut harness = Harness::new();
+    let is_stopped = |harness: &Harness| {
+        let effects = harness.effects.iter();
         effects
             .filter(|effect| matches!(effect, AgentEffect::Stopped))
             .count()
             == 1
     };
-    bench.start(SESSION, 0, 1);
-    bench.handle(AgentEvent::Stop);
-    assert!(!is_stopped(&bench));
-    bench.finish(0, output());
-    assert!(!is_stopped(&bench));
+    harness.start(SESSION, 0, 1);
+    harness.handle(AgentEvent::Stop);
+    assert!(!is_stopped(&harness));
+    harness.finish(0, output());
+    assert!(!is_stopped(&harness));
     let release = vec![submission()];
-    bench.tell_with(SESSION, bench.now, 9, release, ToAgentBody::Heartbeat);
-    assert!(is_stopped(&bench));
+    harness.send_with(SESSION, harness.now, 9, release, ToAgentBody::Heartbeat);
+    assert!(is_stopped(&harness));
 }
 
 #[test]
 fn a_back_end_that_refuses_connections_gets_a_pause() {
-    let mut bench = Bench::new();
-    bench.start(SESSION, 0, 1);
-    bench.finish(0, RunEnd::NotStarted);
-    bench.start(SESSION, 0, 1);
+    let mut harness = Harness::new();
+    harness.start(SESSION, 0, 1);
+    harness.finish(0, RunEnd::NotStarted);
+    harness.start(SESSION, 0, 1);
     let unreachable = NotStartedReason::BackendUnreachable;
-    assert_eq!(bench.refusals(), [unreachable, unreachable]);
-    bench.pass(BACKEND_BACKOFF);
-    bench.start(SESSION, 0, 1);
-    assert_eq!(bench.runs(), [0, 0]);
+    assert_eq!(harness.refusals(), [unreachable, unreachable]);
+    harness.advance(BACKEND_BACKOFF);
+    harness.start(SESSION, 0, 1);
+    assert_eq!(harness.started_tasks(), [0, 0]);
 }
 
 #[test]
 fn a_new_session_fences_the_old_one() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let session = SessionId(3);
-    bench.handle(AgentEvent::Opened {
+    harness.handle(AgentEvent::Opened {
         session,
         gateway: SCHEDULER,
     });
-    bench.start(SESSION, 0, 1);
-    assert!(bench.runs().is_empty());
+    harness.start(SESSION, 0, 1);
+    assert!(harness.started_tasks().is_empty());
     let reconcile = ToAgentBody::Reconcile(vec![dispatch(0, 1)]);
-    bench.tell(session, reconcile);
-    let fates = bench.effects.iter().find_map(|effect| match effect {
+    harness.send(session, reconcile);
+    let statuses = harness.effects.iter().find_map(|effect| match effect {
         AgentEffect::Send { message, .. } => match &message.body {
-            FromAgentBody::Reconciled(answers) => Some(answers[0].fate.clone()),
+            FromAgentBody::Reconciled(answers) => Some(answers[0].status.clone()),
             _ => None,
         },
         _ => None,
     });
-    assert_eq!(fates, Some(Fate::NeverReceived));
+    assert_eq!(statuses, Some(DispatchStatus::NeverReceived));
 }
 
 #[test]
 fn an_older_revision_never_replaces_a_newer_one() {
-    let mut bench = Bench::new();
-    bench.tell(SESSION, ToAgentBody::Revision(revision(Some("w1"))));
-    bench.tell(SESSION, ToAgentBody::Revision(revision(None)));
-    assert_eq!(bench.agent.revision_number(), 2);
-    assert!(bench.agent.is_draining());
+    let mut harness = Harness::new();
+    harness.send(SESSION, ToAgentBody::Revision(revision(Some("w1"))));
+    harness.send(SESSION, ToAgentBody::Revision(revision(None)));
+    assert_eq!(harness.agent.revision_number(), 2);
+    assert!(harness.agent.is_draining());
 }
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -50,7 +50,7 @@
         submission: u64,
     },
     Drain,
-    Pass {
+    Advance {
         millis: u64,
     },
 }
@@ -74,7 +74,7 @@
         1 => (gateway, submission)
             .prop_map(|(gateway, submission)| Step::Cancel { gateway, submission }),
         1 => Just(Step::Drain),
-        2 => (1..2_000_u64).prop_map(|millis| Step::Pass { millis }),
+        2 => (1..2_000_u64).prop_map(|millis| Step::Advance { millis }),
     ]
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Open { gateway } => self.open(gateway),
             Step::Close { gateway } => match self.sessions.remove(&gateway) {
@@ -119,7 +119,7 @@
             } => {
                 let start = StartTask {
                     dispatch: DispatchId {
-                        submission: id(submission),
+                        submission: submission_id(submission),
                         task,
                         delegation,
                     },
@@ -129,7 +129,7 @@
                     time_left: Span::from_secs(600),
                     input: Payload::from(Vec::new()),
                 };
-                self.tell(gateway, ToAgentBody::Start(vec![start]))
+                self.send(gateway, ToAgentBody::Start(vec![start]))
             }
             Step::Finish { index, reached } => self.finish(index, reached),
             Step::Recover {
@@ -138,27 +138,30 @@
                 delegation,
             } => {
                 if self.sessions.contains_key(&gateway) {
-                    let fence = self.fences.entry(id(submission)).or_default();
+                    let fence = self.fences.entry(submission_id(submission)).or_default();
                     *fence = (*fence).max(delegation);
                 }
                 let fence = Fence {
-                    submission: id(submission),
+                    submission: submission_id(submission),
                     delegation,
                 };
-                self.tell(gateway, ToAgentBody::Recover(vec![fence]))
+                self.send(gateway, ToAgentBody::Recover(vec![fence]))
             }
             Step::Cancel {
                 gateway,
                 submission,
-            } => self.tell(gateway, ToAgentBody::Cancel(vec![id(submission)])),
+            } => self.send(
+                gateway,
+                ToAgentBody::Cancel(vec![submission_id(submission)]),
+            ),
             Step::Drain => {
                 if let Some(gateway) = self.sessions.keys().next().copied() {
                     self.drained = true;
-                    return self.tell(gateway, ToAgentBody::Leaving);
+                    return self.send(gateway, ToAgentBody::Leaving);
                 }
                 Ok(())
             }
-            Step::Pass { millis } => {
+            Step::Advance { millis } => {
                 self.now = self.now.after(Span::from_millis(millis));
                 self.handle(AgentEvent::Tick)
             }
@@ -178,7 +181,7 @@
             slots: SLOTS,
             drained: false,
         };
-        self.tell(gateway, ToAgentBody::Membership(membership))
+        self.send(gateway, ToAgentBody::Membership(membership))
     }
 
     fn finish(&mut self, index: usize, reached: bool) -> Result<(), TestCaseError> {
@@ -196,7 +199,7 @@
         self.handle(AgentEvent::Finished { dispatch, end })
     }
 
-    fn tell(&mut self, gateway: u64, body: ToAgentBody) -> Result<(), TestCaseError> {
+    fn send(&mut self, gateway: u64, body: ToAgentBody) -> Result<(), TestCaseError> {
         let Some(session) = self.sessions.get(&gateway).copied() else {
             return Ok(());
         };
@@ -241,7 +244,7 @@
     }
 }
 
-fn id(number: u64) -> SubmissionId {
+fn submission_id(number: u64) -> SubmissionId {
     SubmissionId {
         entry: Incarnation(9),
         number,
@@ -263,7 +266,7 @@
         .run(&prop::collection::vec(step(), STEPS), |steps| {
             let mut model = Model::new();
             for step in steps {
-                model.take(step)?;
+                model.apply(step)?;
             }
             let started = model.started.len();
             counted.fetch_add(started, std::sync::atomic::Ordering::Relaxed);
--- a/laurelstile-core/tests/gateway.rs
+++ b/laurelstile-core/tests/gateway.rs
@@ -25,7 +25,7 @@
 const SLOTS: u32 = 4;
 
 /// A gateway with one agent of four slots.
-struct Bench {
+struct Harness {
     gateway: Gateway,
     now: Timestamp,
     processed: u64,
@@ -36,14 +36,14 @@
     answers: BTreeMap<u64, Answer>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let identity = Identity {
             name: "g1".into(),
             incarnation: Incarnation(1),
             zone: "a".into(),
         };
-        let mut bench = Self {
+        let mut harness = Self {
             gateway: Gateway::new(identity),
             now: Timestamp(1_000_000),
             processed: 0,
@@ -53,19 +53,19 @@
             released_claims: 0,
             answers: BTreeMap::new(),
         };
-        bench.handle(GatewayEvent::Machines(MachineList::default()));
-        bench.handle(GatewayEvent::Revision(revision()));
+        harness.handle(GatewayEvent::Machines(MachineList::default()));
+        harness.handle(GatewayEvent::Revision(revision()));
         let remote = Remote {
             name: "w1".to_owned(),
             incarnation: Incarnation(7),
             uptime: Span::from_secs(0),
         };
-        bench.handle(GatewayEvent::AgentOpened {
+        harness.handle(GatewayEvent::AgentOpened {
             session: AGENT,
             remote,
         });
-        bench.report(FromAgentBody::Heartbeat);
-        bench
+        harness.report(FromAgentBody::Heartbeat);
+        harness
     }
 
     fn handle(&mut self, event: GatewayEvent) {
@@ -115,7 +115,7 @@
         self.handle(GatewayEvent::Submit { number, request });
     }
 
-    fn end(&mut self, index: usize, outcome: TaskOutcome) {
+    fn end_task(&mut self, index: usize, outcome: TaskOutcome) {
         let task = self.running.remove(index);
         let result = TaskResult {
             dispatch: task.dispatch,
@@ -147,7 +147,7 @@
         Some((failure.run_state, failure.reason))
     }
 
-    fn pass(&mut self, span: Span) {
+    fn advance(&mut self, span: Span) {
         let step = Span::from_millis(500);
         let end = self.now.after(span);
         while self.now < end {
@@ -224,14 +224,14 @@
 
 #[test]
 fn a_job_is_answered_once_and_whole() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 6));
-    assert_eq!(bench.running.len(), 4);
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 6));
+    assert_eq!(harness.running.len(), 4);
     for _ in 0..6 {
-        assert!(bench.answers.is_empty());
-        bench.end(0, output());
+        assert!(harness.answers.is_empty());
+        harness.end_task(0, output());
     }
-    let outputs = bench.answers[&1].outcome.as_ref().expect("it is whole");
+    let outputs = harness.answers[&1].outcome.as_ref().expect("it is whole");
     assert_eq!(outputs.len(), 6);
 }
 
@@ -257,183 +257,183 @@
     Reason::DeadlineUnreachable
 )]
 fn a_job_that_cannot_be_run_is_refused_at_once(
-    #[case] spoil: fn(&mut JobRequest),
+    #[case] invalidate: fn(&mut JobRequest),
     #[case] reason: Reason,
 ) {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let mut request = job("one", 2);
-    spoil(&mut request);
-    bench.submit(1, request);
-    assert_eq!(bench.failure(1), Some((RunState::NotRun, reason)));
-    assert!(bench.running.is_empty());
+    invalidate(&mut request);
+    harness.submit(1, request);
+    assert_eq!(harness.failure(1), Some((RunState::NotRun, reason)));
+    assert!(harness.running.is_empty());
 }
 
 #[test]
 fn a_deadline_is_judged_by_the_slots_in_service() {
-    let mut bench = Bench::new();
-    bench.handle(GatewayEvent::Tick);
+    let mut harness = Harness::new();
+    harness.handle(GatewayEvent::Tick);
     let in_time = |number| JobRequest {
         deadline: Some(Span::from_millis(400)),
         ..job("one", number)
     };
-    bench.submit(1, in_time(12));
-    assert_eq!(bench.failure(1), None);
+    harness.submit(1, in_time(12));
+    assert_eq!(harness.failure(1), None);
     // The second agent, with four of the eight slots, has no session.
-    bench.handle(GatewayEvent::Revision(revision_of(&["w1", "w2"], 2)));
-    bench.handle(GatewayEvent::Tick);
-    bench.submit(2, in_time(12));
+    harness.handle(GatewayEvent::Revision(revision_of(&["w1", "w2"], 2)));
+    harness.handle(GatewayEvent::Tick);
+    harness.submit(2, in_time(12));
     let unreachable = Some((RunState::NotRun, Reason::DeadlineUnreachable));
-    assert_eq!(bench.failure(2), unreachable);
+    assert_eq!(harness.failure(2), unreachable);
 }
 
 #[test]
 fn least_remaining_work_goes_first() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 30));
-    bench.submit(2, job("one", 1));
-    bench.end(0, output());
-    assert_eq!(bench.running_jobs(), [1, 1, 1, 2]);
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 30));
+    harness.submit(2, job("one", 1));
+    harness.end_task(0, output());
+    assert_eq!(harness.running_jobs(), [1, 1, 1, 2]);
 }
 
 #[test]
 fn a_heavier_tenant_goes_first() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 20));
-    bench.submit(2, job("two", 30));
-    bench.end(0, output());
-    assert_eq!(bench.running_jobs(), [1, 1, 1, 2]);
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 20));
+    harness.submit(2, job("two", 30));
+    harness.end_task(0, output());
+    assert_eq!(harness.running_jobs(), [1, 1, 1, 2]);
 }
 
 #[test]
 fn what_waits_long_goes_before_what_is_shorter() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 8));
-    bench.pass(Span::from_secs(8));
-    bench.submit(2, job("one", 3));
-    bench.end(0, output());
-    assert_eq!(bench.running_jobs(), [1, 1, 1, 1]);
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 8));
+    harness.advance(Span::from_secs(8));
+    harness.submit(2, job("one", 3));
+    harness.end_task(0, output());
+    assert_eq!(harness.running_jobs(), [1, 1, 1, 1]);
 }
 
 #[test]
 fn a_quota_is_never_exceeded_and_leaves_slots_to_others() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("few", 5));
-    bench.submit(2, job("one", 5));
-    assert_eq!(bench.running_jobs(), [1, 2, 2, 2]);
-    bench.end(1, output());
-    assert_eq!(bench.running_jobs(), [1, 2, 2, 2]);
+    let mut harness = Harness::new();
+    harness.submit(1, job("few", 5));
+    harness.submit(2, job("one", 5));
+    assert_eq!(harness.running_jobs(), [1, 2, 2, 2]);
+    harness.end_task(1, output());
+    assert_eq!(harness.running_jobs(), [1, 2, 2, 2]);
 }
 
 #[test]
 fn a_refused_start_is_tried_again() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 1));
-    bench.refuse(0, NotStartedReason::BackendUnreachable);
-    assert_eq!(bench.running_jobs(), [1]);
-    bench.end(0, output());
-    assert!(bench.answers[&1].outcome.is_ok());
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 1));
+    harness.refuse(0, NotStartedReason::BackendUnreachable);
+    assert_eq!(harness.running_jobs(), [1]);
+    harness.end_task(0, output());
+    assert!(harness.answers[&1].outcome.is_ok());
 }
 
 #[test]
 fn a_failed_task_fails_its_job_at_once_and_stops_the_siblings() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 8));
-    bench.end(0, TaskOutcome::Failed);
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 8));
+    harness.end_task(0, TaskOutcome::Failed);
     let failure = Some((RunState::MayHaveRun, Reason::TaskFailed));
-    assert_eq!(bench.failure(1), failure);
-    assert_eq!(bench.cancelled.len(), 1);
+    assert_eq!(harness.failure(1), failure);
+    assert_eq!(harness.cancelled.len(), 1);
 }
 
 #[test]
 fn past_its_deadline_a_job_that_never_started_is_not_run() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 4));
-    bench.submit(2, job("one", 4));
-    bench.pass(Span::from_secs(11));
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 4));
+    harness.submit(2, job("one", 4));
+    harness.advance(Span::from_secs(11));
     let deadline = Reason::DeadlineExceeded;
-    assert_eq!(bench.failure(1), Some((RunState::MayHaveRun, deadline)));
-    assert_eq!(bench.failure(2), Some((RunState::NotRun, deadline)));
+    assert_eq!(harness.failure(1), Some((RunState::MayHaveRun, deadline)));
+    assert_eq!(harness.failure(2), Some((RunState::NotRun, deadline)));
 }
 
 #[test]
 fn nothing_unrepeatable_starts_without_its_claim() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let once = |key: &str| JobRequest {
         class: "once".into(),
         idempotency_key: Some(key.into()),
         ..job("one", 1)
     };
     for number in 1..=3 {
-        bench.submit(number, once("key"));
+        harness.submit(number, once("key"));
     }
-    assert!(bench.running.is_empty());
+    assert!(harness.running.is_empty());
     let outcomes = [
         ClaimOutcome::Granted,
         ClaimOutcome::Taken,
         ClaimOutcome::Unavailable,
     ];
-    for (submission, outcome) in bench.claims.clone().into_iter().zip(outcomes) {
-        bench.handle(GatewayEvent::Claimed {
+    for (submission, outcome) in harness.claims.clone().into_iter().zip(outcomes) {
+        harness.handle(GatewayEvent::Claimed {
             submission,
             outcome,
         });
     }
-    assert_eq!(bench.running_jobs(), [1]);
+    assert_eq!(harness.running_jobs(), [1]);
     let taken = Some((RunState::MayHaveRun, Reason::AlreadyClaimed));
-    assert_eq!(bench.failure(2), taken);
+    assert_eq!(harness.failure(2), taken);
     let unavailable = Some((RunState::NotRun, Reason::ClaimUnavailable));
-    assert_eq!(bench.failure(3), unavailable);
+    assert_eq!(harness.failure(3), unavailable);
     // The write may have taken effect all the same.
-    assert_eq!(bench.released_claims, 1);
+    assert_eq!(harness.released_claims, 1);
 }
 
 #[test]
 fn a_claim_that_comes_too_late_is_given_back() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let once = JobRequest {
         class: "once".into(),
         idempotency_key: Some("key".into()),
         ..job("one", 1)
     };
-    bench.submit(1, once);
-    bench.handle(GatewayEvent::CallerGone { number: 1 });
-    assert_eq!(bench.released_claims, 0);
-    let submission = bench.claims[0];
-    bench.handle(GatewayEvent::Claimed {
+    harness.submit(1, once);
+    harness.handle(GatewayEvent::CallerGone { number: 1 });
+    assert_eq!(harness.released_claims, 0);
+    let submission = harness.claims[0];
+    harness.handle(GatewayEvent::Claimed {
         submission,
         outcome: ClaimOutcome::Granted,
     });
-    assert!(bench.running.is_empty());
-    assert_eq!(bench.released_claims, 1);
+    assert!(harness.running.is_empty());
+    assert_eq!(harness.released_claims, 1);
 }
 
 #[test]
 fn a_lost_agent_fails_what_it_may_have_run() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 4));
-    bench.submit(2, job("one", 4));
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 4));
+    harness.submit(2, job("one", 4));
     let remote = Remote {
         name: "w1".to_owned(),
         incarnation: Incarnation(8),
         uptime: Span::from_secs(0),
     };
-    bench.handle(GatewayEvent::AgentOpened {
+    harness.handle(GatewayEvent::AgentOpened {
         session: SessionId(2),
         remote,
     });
     let lost = Some((RunState::MayHaveRun, Reason::WorkerLost));
-    assert_eq!(bench.failure(1), lost);
-    assert_eq!(bench.failure(2), None);
+    assert_eq!(harness.failure(1), lost);
+    assert_eq!(harness.failure(2), None);
 }
 
 #[test]
 fn a_stopping_gateway_refuses_new_jobs_and_finishes_the_others() {
-    let mut bench = Bench::new();
-    bench.submit(1, job("one", 1));
-    bench.handle(GatewayEvent::Stop);
-    bench.submit(2, job("one", 1));
+    let mut harness = Harness::new();
+    harness.submit(1, job("one", 1));
+    harness.handle(GatewayEvent::Stop);
+    harness.submit(2, job("one", 1));
     let stopping = Some((RunState::NotRun, Reason::GatewayStopping));
-    assert_eq!(bench.failure(2), stopping);
-    bench.end(0, output());
-    assert!(bench.answers[&1].outcome.is_ok());
+    assert_eq!(harness.failure(2), stopping);
+    harness.end_task(0, output());
+    assert!(harness.answers[&1].outcome.is_ok());
 }
