--- a/laurelstile-core/src/agent/mod.rs
+++ b/laurelstile-core/src/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent beside a back end: it owns the back end's slots, so that no
-//! agreement between gateways is needed to keep starts safe.
+//! The agent beside a back end. It owns the back end's slots, so gateways need
+//! no consensus among themselves to start tasks safely.
 
 mod outgoing;
 mod record;
@@ -20,99 +20,102 @@
 use crate::session::SessionId;
 use record::{Records, StartCheck};
 
-/// A start is refused if its sender last heard from the agent longer ago. This
-/// bounds how long a start on its way can be late for a back end that leaves.
+/// Maximum age of the clock reading echoed with a start. Bounds how late a
+/// delayed start can arrive at a back end that is leaving.
 pub const MAX_START_ECHO_AGE: Span = Span::from_millis(4_500);
-/// A session from which nothing comes for this long is closed.
+/// A session that has received no message for this long is closed.
 pub const SESSION_TIMEOUT: Span = Span::from_secs(25);
-/// Heartbeat interval towards a gateway with unresolved work.
+/// Heartbeat interval to a gateway that has tasks running here or waits for a
+/// slot.
 pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
-/// A gateway's heartbeat is answered unless something was sent to it within
-/// this time.
+/// Minimum time since the last message to a gateway before its heartbeat is
+/// answered.
 pub const HEARTBEAT_REPLY_INTERVAL: Span = Span::from_millis(400);
-/// How long after joining its pool an agent reports as often as a busy one.
+/// Time after joining its pool during which an agent sends heartbeats at the
+/// busy interval.
 pub const NEW_MEMBER_PERIOD: Span = Span::from_secs(5);
-/// How long a back end that refused a connection gets no start.
+/// How long starts are refused after the back end refused a connection.
 pub const BACKEND_BACKOFF: Span = Span::from_millis(500);
 
-/// What happens to an agent.
+/// Input to the agent's state machine.
 #[derive(Debug)]
 pub enum AgentEvent {
-    /// A gateway's session is open.
+    /// A gateway opened a session.
     Opened {
-        /// The session.
+        /// Identifier of the new session.
         session: SessionId,
-        /// Incarnation of the gateway.
+        /// Incarnation of the gateway process.
         gateway: Incarnation,
     },
-    /// A session is closed.
+    /// A session was closed by the other side or by the transport.
     Closed {
-        /// The session.
+        /// Identifier of the closed session.
         session: SessionId,
     },
-    /// A message came.
+    /// A message arrived from a gateway.
     Message {
-        /// Session on which it came.
+        /// Session on which the message arrived.
         session: SessionId,
-        /// The message.
+        /// Decoded message.
         message: ToAgent,
     },
-    /// A started task has ended.
+    /// The back end finished a task, or could not be reached to start it.
     Finished {
-        /// The dispatch.
+        /// Dispatch that was started by [`AgentEffect::Run`].
         dispatch: DispatchId,
-        /// How.
+        /// Outcome of the run.
         end: RunEnd,
     },
-    /// The process is asked to stop in a planned way.
+    /// The process was asked to shut down gracefully.
     Stop,
-    /// Time has passed.
+    /// Periodic timer; drives heartbeats and time-outs.
     Tick,
 }
 
-/// How the back end's run of a task ended.
+/// Outcome of running a task on the back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The back end was never reached: proof that the task did not start.
+    /// The back end could not be reached, so the task definitely did not
+    /// start.
     NotStarted,
-    /// The task ended.
+    /// The request was sent to the back end; the outcome may be unknown.
     Ended(TaskOutcome),
 }
 
-/// What an agent wants done.
+/// Output of the agent's state machine, to be carried out by its driver.
 #[derive(Debug)]
 pub enum AgentEffect {
-    /// Send a message.
+    /// Send a message to a gateway.
     Send {
-        /// The session.
+        /// Session to send on.
         session: SessionId,
-        /// The message.
+        /// Message to send.
         message: FromAgent,
     },
-    /// Run a task on the back end.
+    /// Run a task on the back end and report [`AgentEvent::Finished`].
     Run {
-        /// The dispatch.
+        /// Dispatch to report the outcome for.
         dispatch: DispatchId,
-        /// Service.
+        /// Service whose back end runs the task.
         service: ServiceName,
-        /// Class.
+        /// Class of the task within the service.
         class: ClassName,
-        /// Input.
+        /// Opaque input passed to the back end.
         input: Payload,
     },
-    /// Break off the run of a task; no `Finished` needs to follow.
+    /// Abort a running task; a later `Finished` for it is ignored.
     Abort(DispatchId),
-    /// Close a session.
+    /// Close a session that was replaced or has timed out.
     Close(SessionId),
-    /// A revision is in force here.
+    /// The agent applied this revision.
     InForce(RevisionNumber),
-    /// The agent refuses all new work from now on.
+    /// The agent has started to refuse all new work.
     Draining,
-    /// Everything is handed over; the process may exit.
+    /// A graceful shutdown is complete and the process may exit.
     Stopped,
 }
 
-/// A gateway's session.
+/// Per-session state of a gateway.
 #[derive(Debug)]
 struct Link {
     gateway: Incarnation,
@@ -125,7 +128,7 @@
     has_offer: bool,
 }
 
-/// What a start tells of its sender.
+/// Envelope fields of a message that carries starts.
 #[derive(Clone, Copy, Debug)]
 struct Sender {
     session: SessionId,
@@ -133,11 +136,12 @@
     revision: RevisionNumber,
 }
 
-/// The agent's machine.
+/// The agent's state machine.
 #[derive(Debug)]
 pub struct Agent {
     name: BackendName,
-    /// The revision in force, where this agent was given the whole of it.
+    /// The full revision in force; `None` if the agent received only its own
+    /// membership.
     revision: Option<Arc<Revision>>,
     revision_number: RevisionNumber,
     slots: u32,
@@ -153,7 +157,7 @@
 }
 
 impl Agent {
-    /// An agent for the named back end, without a configuration.
+    /// Creates an agent without a configuration, which has no slots.
     pub fn new(name: BackendName) -> Self {
         Self {
             name,
@@ -172,27 +176,28 @@
         }
     }
 
-    /// The revision in force here; 0 if none.
+    /// Number of the revision in force; 0 if none.
     pub fn revision_number(&self) -> RevisionNumber {
         self.revision_number
     }
 
-    /// Tasks that run now.
+    /// Number of tasks running on the back end.
     pub fn running(&self) -> u32 {
         self.records.running()
     }
 
-    /// Submissions that the agent remembers.
+    /// Number of submissions that the agent keeps a record of.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether the agent refuses new work.
+    /// Whether new work is refused because of a drain, a leaving machine or a
+    /// shutdown.
     pub fn is_draining(&self) -> bool {
         self.drained || self.leaving || self.stopping
     }
 
-    /// Takes in one event. Call [`Agent::flush`] after a batch of events.
+    /// Processes one event. Call [`Agent::flush`] after each batch of events.
     pub fn handle(&mut self, now: Timestamp, event: AgentEvent, effects: &mut Vec<AgentEffect>) {
         match event {
             AgentEvent::Opened { session, gateway } => self.open(now, session, gateway, effects),
@@ -208,7 +213,7 @@
         }
     }
 
-    /// Sends what the events since the last flush gave rise to.
+    /// Sends the messages that the events since the last flush require.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if self.is_draining() && !self.drain_reported {
             self.drain_reported = true;
@@ -221,8 +226,8 @@
         self.report_stop(now, effects);
     }
 
-    /// Reports the end of a planned stop: nothing runs, and no gateway may
-    /// still ask for an output.
+    /// Reports that a graceful shutdown is complete: no task is running, and
+    /// no gateway may still request an output.
     fn report_stop(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if self.stopping && !self.stop_reported && !self.records.has_unreleased_work(now) {
             self.stop_reported = true;
@@ -237,7 +242,7 @@
         gateway: Incarnation,
         effects: &mut Vec<AgentEffect>,
     ) {
-        // A new session of the same incarnation fences the old one.
+        // A new session of the same gateway incarnation replaces the old one.
         let old: Vec<SessionId> = self
             .links
             .iter()
@@ -356,7 +361,8 @@
         if self.is_draining() {
             return Some(NotStartedReason::Draining);
         }
-        // The sender measured the age after it had seen the echoed reading.
+        // The sender computed the age after it had received the echoed
+        // reading, so `echo - age` is not later than the delegation.
         if sender.echo < self.member_since.after(task.age) {
             return Some(NotStartedReason::OlderThanAgent);
         }
@@ -397,7 +403,8 @@
         }
     }
 
-    /// Puts a newer revision in force; an older one is ignored.
+    /// Applies a membership newer than the current one; older ones are
+    /// ignored.
     fn apply(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/agent/outgoing.rs
+++ b/laurelstile-core/src/agent/outgoing.rs
@@ -1,4 +1,4 @@
-//! What an agent sends: reports, offers, results.
+//! Outgoing messages of an agent: reports, offers of free slots, and results.
 
 use laurelstile_types::time::Timestamp;
 
@@ -9,8 +9,8 @@
 use crate::session::SessionId;
 
 impl Agent {
-    /// An idle agent says nothing by itself: it is asked when a gateway needs a
-    /// fresh report, or wants to know whether the session lives.
+    /// Answers a gateway's heartbeat. Idle agents send none on their own;
+    /// gateways probe them for fresh reports and for liveness.
     pub(super) fn answer_heartbeat(
         &mut self,
         now: Timestamp,
@@ -26,9 +26,11 @@
         }
     }
 
-    /// Sessions of gateways that wait for reports and got none lately.
+    /// Sessions that need periodic reports and have not been sent one within
+    /// the heartbeat interval.
     pub(super) fn heartbeats_due(&self, now: Timestamp) -> Vec<SessionId> {
-        // Whether a young agent may take a job hangs on a fresh report.
+        // Gateways need fresh reports to determine whether a new member was in
+        // the pool before a delegation.
         let is_new = now.since(self.member_since) < NEW_MEMBER_PERIOD;
         let busy =
             |link: &Link| is_new || link.awaits_slot || self.records.has_running_for(link.gateway);
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Slots that may be filled now.
+    /// Slots that can be filled now.
     pub(super) fn free_slots(&self, now: Timestamp) -> u32 {
         if self.is_draining() || now < self.backend_down_until {
             return 0;
@@ -75,8 +77,8 @@
         }
     }
 
-    /// Where gateways wait for slots, offers the free ones to the gateway
-    /// that has the fewest tasks here.
+    /// If gateways are waiting for slots, offers the free ones to the waiting
+    /// gateway with the fewest running tasks here.
     pub(super) fn choose_offer(&mut self) {
         if !self.links.values().any(|link| link.awaits_slot) {
             return;
--- a/laurelstile-core/src/agent/record.rs
+++ b/laurelstile-core/src/agent/record.rs
@@ -1,5 +1,5 @@
-//! What an agent remembers of submissions: which tasks it started, their
-//! outputs until they are released, and fences against old delegations.
+//! Per-submission records of an agent: started tasks, outputs retained until
+//! they are released, and fences against superseded delegations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,24 +9,24 @@
 
 use crate::messages::agent::{DispatchStatus, Fence, TaskOutcome};
 
-/// How long a fence is kept. It outlasts every deadline, so that no start
-/// under an older delegation can come after it.
+/// How long a fence is kept. Must exceed every job deadline, so that no start
+/// under a superseded delegation can arrive after the fence is gone.
 pub const FENCE_LIFETIME: Span = Span::from_millis(MAX_DEADLINE_MILLIS + 120_000);
-/// How long a record without a fence is kept past its job's deadline. No
-/// gateway starts or recovers a task of the job so late.
+/// How long a record without a fence is kept past its job's deadline, after
+/// which no gateway starts or recovers a task of the job.
 pub const RECORD_RETENTION: Span = Span::from_secs(60);
 
-/// Most bytes of outputs that are kept for gateways that may ask again.
+/// Maximum total size of retained outputs, in bytes.
 pub const MAX_RETAINED_OUTPUT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Whether a dispatch may start, as far as the records tell.
+/// Result of checking a dispatch against the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartCheck {
-    /// It was not started before.
+    /// The task has not been started.
     New,
-    /// Its delegation is too old, or the submission is over.
+    /// The delegation is superseded, or the submission is closed.
     Fenced,
-    /// Its task was started before.
+    /// The task was started before.
     Duplicate,
 }
 
@@ -39,20 +39,20 @@
 #[derive(Debug)]
 struct Task {
     delegation: DelegationNumber,
-    /// Gateway that gets the result.
+    /// Gateway that receives the result.
     owner: Incarnation,
     state: TaskState,
 }
 
 #[derive(Debug)]
 struct Record {
-    /// Least delegation that may start tasks.
+    /// Minimum delegation number that may start tasks; 0 if never fenced.
     fence: DelegationNumber,
-    /// Whether the submission is over.
+    /// Whether the submission was released; no more of its tasks may start.
     closed: bool,
-    /// Whether to forget the submission once nothing of it runs.
+    /// Whether to remove the record once none of its tasks is running.
     released: bool,
-    /// Deadline of the job, as far as starts have told.
+    /// Latest job deadline given by a start.
     deadline: Timestamp,
     expires: Timestamp,
     tasks: BTreeMap<TaskIndex, Task>,
@@ -67,27 +67,24 @@
 }
 
 impl Records {
-    /// Number of submissions remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tasks that run now.
     pub fn running(&self) -> u32 {
         self.running.values().sum()
     }
 
-    /// Running tasks whose results go to `gateway`.
+    /// Number of running tasks whose results go to `gateway`.
     pub fn running_for(&self, gateway: Incarnation) -> u32 {
         self.running.get(&gateway).copied().unwrap_or(0)
     }
 
-    /// Whether tasks of `gateway` run.
     pub fn has_running_for(&self, gateway: Incarnation) -> bool {
         self.running_for(gateway) > 0
     }
 
-    /// Whether a task runs, or a gateway may still ask for an output.
+    /// Whether a task is running, or a gateway may still request an output.
     pub fn has_unreleased_work(&self, now: Timestamp) -> bool {
         self.records.values().any(|record| {
             let is_retained = !record.tasks.is_empty() && now < record.deadline;
@@ -95,7 +92,7 @@
         })
     }
 
-    /// Whether `dispatch` may start.
+    /// Checks whether the records allow `dispatch` to start.
     pub fn check_start(&self, dispatch: DispatchId) -> StartCheck {
         let Some(record) = self.records.get(&dispatch.submission) else {
             return StartCheck::New;
@@ -109,7 +106,7 @@
         StartCheck::New
     }
 
-    /// Notes that `dispatch` starts for `gateway`.
+    /// Records that `dispatch` was started for `gateway`.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -132,7 +129,8 @@
         *self.running.entry(gateway).or_default() += 1;
     }
 
-    /// The gateway that waits for `dispatch`, if it runs.
+    /// The gateway that receives the result of `dispatch`; `None` if it is not
+    /// running.
     pub fn owner_of_running(&self, dispatch: DispatchId) -> Option<Incarnation> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
@@ -140,7 +138,8 @@
         running.then_some(task.owner)
     }
 
-    /// Notes that a running task has ended; gives its run time.
+    /// Records the outcome of a running task and returns its run time. The
+    /// output is discarded if retained outputs would exceed their limit.
     pub fn finish(&mut self, now: Timestamp, dispatch: DispatchId, outcome: TaskOutcome) -> Span {
         let Some(record) = self.records.get_mut(&dispatch.submission) else {
             return Span::default();
@@ -170,7 +169,7 @@
         run
     }
 
-    /// Forgets a task that was never started after all.
+    /// Removes a task that turned out not to have started.
     pub fn remove_task(&mut self, dispatch: DispatchId) {
         let Some(record) = self.records.get_mut(&dispatch.submission) else {
             return;
@@ -180,14 +179,14 @@
         }
     }
 
-    /// What became of `dispatch`; `None` if it was never received.
+    /// Status of `dispatch`; `None` if it was never received.
     pub fn status_of(&self, dispatch: DispatchId) -> Option<DispatchStatus> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
         (task.delegation == dispatch.delegation).then(|| task.status())
     }
 
-    /// Every task that was started of `submission`.
+    /// Status of every started task of `submission`.
     pub fn statuses_of(&self, submission: SubmissionId) -> Vec<(TaskIndex, DispatchStatus)> {
         self.records
             .get(&submission)
@@ -201,7 +200,7 @@
     }
 
     /// Refuses older delegations from now on and makes `gateway` the owner of
-    /// what was started. Gives the owners before that still had tasks running.
+    /// all started tasks. Returns the previous owners of running tasks.
     pub fn fence(
         &mut self,
         now: Timestamp,
@@ -225,8 +224,8 @@
         old_owners
     }
 
-    /// Ends the running tasks of `submission` that `gateway` owns; gives their
-    /// dispatches.
+    /// Marks the running tasks of `submission` owned by `gateway` as cancelled
+    /// and returns their dispatches.
     pub fn cancel(&mut self, submission: SubmissionId, gateway: Incarnation) -> Vec<DispatchId> {
         let Some(record) = self.records.get_mut(&submission) else {
             return Vec::new();
@@ -251,9 +250,9 @@
         cancelled
     }
 
-    /// Forgets a submission whose answer is out, at once or when nothing of
-    /// it runs any more. One that was ever fenced stays closed until it
-    /// expires, since an older delegation may still have an unaware holder.
+    /// Removes the record of an answered submission as soon as none of its
+    /// tasks is running. A fenced record stays closed until it expires, since
+    /// a superseded scheduler may still send starts.
     pub fn release(&mut self, submission: SubmissionId) {
         if let Some(record) = self.records.get_mut(&submission) {
             record.released = true;
@@ -277,7 +276,7 @@
         }
     }
 
-    /// Forgets records that have outlived every deadline.
+    /// Removes expired records that have no running tasks.
     pub fn expire(&mut self, now: Timestamp) {
         let mut freed = 0;
         self.records.retain(|_, record| {
--- a/laurelstile-core/src/agent/recovery.rs
+++ b/laurelstile-core/src/agent/recovery.rs
@@ -1,4 +1,5 @@
-//! What an agent tells after a cut, or of a lost scheduler's tasks.
+//! Answers to gateways that reconnect or that recover tasks of a lost
+//! scheduler.
 
 use std::collections::BTreeMap;
 
--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -1,4 +1,4 @@
-//! The gateway's dealings with agents.
+//! Sessions of the gateway with agents.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
 use crate::messages::peer::DelegationKey;
 use crate::session::{Remote, SessionId};
 
-/// Releases are sent on their own after this long.
+/// Maximum delay before pending releases are sent without another message.
 const RELEASE_DELAY: Span = Span::from_millis(500);
-/// Releases are sent on their own when there are this many.
+/// Number of pending releases at which they are sent without another message.
 const RELEASE_BATCH: usize = 256;
 
 impl Gateway {
@@ -47,8 +47,8 @@
         self.notify_agent_leaving(now, index, effects);
     }
 
-    /// Nothing listens at the agent's address: the process that had our
-    /// tasks has ended, and nobody can tell how they did.
+    /// Nothing listens at the agent's address: the process that had the tasks
+    /// has ended, and their outcome cannot be determined.
     pub(super) fn on_agent_refused(
         &mut self,
         now: Timestamp,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Brings the links in line with a new configuration.
+    /// Updates the links for a new configuration.
     pub(super) fn configure_links(&mut self, now: Timestamp, configuration: &Configuration) {
         for index in self.links.indices() {
             self.links.get_mut(index).configured = false;
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Sends the revision in force to an agent that is behind, once a session.
+    /// Sends the revision in force to an agent with an older one, at most once
+    /// per session.
     fn push_revision_to(
         &mut self,
         now: Timestamp,
@@ -233,7 +234,7 @@
         self.probe_idle_agents(now, effects);
     }
 
-    /// Asks idle agents for fresh reports if tasks are left waiting.
+    /// Requests fresh reports from idle agents if tasks are still queued.
     fn probe_idle_agents(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for (pool, tasks) in self.scheduler.waiting() {
             for index in self.links.choose_probes(now, &pool, tasks) {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Sends every pending release on its own.
+    /// Sends all pending releases without waiting for another message.
     pub(super) fn send_releases(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for index in self.links.indices() {
             if !self.links.get(index).pending_releases.is_empty() {
--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! The gateway as the entry of submissions: checks, claims, delegates, and
+//! The gateway as the entry of submissions: validates, claims, delegates and
 //! answers.
 
 use laurelstile_types::id::{DispatchId, SubmissionId};
@@ -13,8 +13,8 @@
 use crate::payload::Payload;
 use crate::rendezvous::scheduler_of;
 
-/// How long after its deadline a submission waits for its scheduler's word
-/// on whether it has run.
+/// How long after its deadline a submission waits for its scheduler to report
+/// whether it has run.
 const DEADLINE_GRACE: Span = Span::from_millis(500);
 
 impl Gateway {
@@ -128,7 +128,7 @@
             ClaimOutcome::Granted => self.delegate(now, id.number, effects),
             ClaimOutcome::Taken => {
                 // This submission did not run, but the caller's request may
-                // have, under the submission that has the claim.
+                // have run under the submission that holds the claim.
                 if let Some(submission) = self.submissions.get_mut(&id.number) {
                     submission.claim = None;
                 }
@@ -145,7 +145,8 @@
         }
     }
 
-    /// The submission was answered as not run before its claim was decided.
+    /// Handles a claim that was decided after its submission had been answered
+    /// as not run.
     fn resolve_late_claim(
         &mut self,
         id: SubmissionId,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Hands the missing tasks of a submission to the pool's scheduler.
+    /// Delegates the missing tasks of a submission to the pool's scheduler.
     pub(super) fn delegate(
         &mut self,
         now: Timestamp,
@@ -249,7 +250,7 @@
         )
     }
 
-    /// A scheduler says how a delegation ended.
+    /// Handles the end of a delegation as reported by its scheduler.
     pub(super) fn on_delegation_end(
         &mut self,
         now: Timestamp,
@@ -280,7 +281,8 @@
         }
     }
 
-    /// An agent reports a recovered task's end to this gateway directly.
+    /// Handles the result of a recovered task, which the agent reports to the
+    /// entry gateway directly.
     pub(super) fn on_direct_result(
         &mut self,
         now: Timestamp,
@@ -334,7 +336,8 @@
         self.answer(now, number, Ok(outputs), effects);
     }
 
-    /// Gives the final answer and lets everyone forget the submission.
+    /// Sends the final answer, cancels work still in progress, and lets agents
+    /// discard the submission.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
@@ -351,7 +354,8 @@
             if failure.run_state == RunState::NotRun
                 && let Some(claim) = &submission.claim
             {
-                // A claim whose write is under way is released after it.
+                // A claim whose write is in progress is released once it is
+                // decided.
                 if submission.phase == Phase::Claiming {
                     self.undecided_claims.insert(number, claim.clone());
                 } else {
@@ -370,7 +374,7 @@
         })));
     }
 
-    /// Stops what schedulers and agents still do for a submission.
+    /// Cancels the work of schedulers and agents on a submission.
     fn cancel_work(
         &mut self,
         now: Timestamp,
@@ -401,7 +405,7 @@
         }
     }
 
-    /// Lets the agents that keep a fence for a submission forget its outputs.
+    /// Lets the agents that hold a fence for a submission discard its outputs.
     fn queue_fence_releases(&mut self, submission: &Submission) {
         for link in &submission.fenced_at {
             self.links
@@ -447,7 +451,7 @@
 }
 
 impl Submission {
-    /// When the entry gateway answers even without its scheduler's word.
+    /// When the entry gateway answers even without a report of its scheduler.
     fn answer_deadline(&self) -> Timestamp {
         match self.phase {
             Phase::Claiming => self.deadline,
@@ -455,7 +459,7 @@
         }
     }
 
-    /// What is proved of its run state in this phase.
+    /// Run state that is certain in this phase.
     fn run_state(&self) -> RunState {
         match self.phase {
             Phase::Claiming => RunState::NotRun,
@@ -464,7 +468,8 @@
     }
 }
 
-/// A scheduler's proof speaks of its own delegation only.
+/// A scheduler knows only its own delegation: a failure that it reports as not
+/// run is downgraded if an earlier delegation has started tasks.
 fn with_run_state(failure: Failure, submission: &Submission) -> Failure {
     if submission.has_run() {
         return Failure {
--- a/laurelstile-core/src/gateway/job.rs
+++ b/laurelstile-core/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A delegated job as its scheduler holds it, and how long tasks of a class run.
+//! State of a delegated job at its scheduler, and mean run times by class.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,17 +12,16 @@
 use crate::messages::peer::{DelegatedTask, DelegationKey, TaskOutput};
 use crate::payload::Payload;
 
-/// Weight of a new run in the learned mean of its class.
+/// Smoothing factor of the moving average of a class's run time.
 const MEAN_SMOOTHING: f64 = 0.05;
 
-/// A task that was sent to an agent and whose end is not known.
+/// A task that was sent to an agent and whose outcome is unknown.
 #[derive(Debug)]
 pub(super) struct RunningTask {
     pub(super) link: LinkIndex,
     pub(super) input: Payload,
 }
 
-/// A delegated job.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) key: DelegationKey,
@@ -33,8 +32,8 @@
     pub(super) tenant: TenantName,
     pub(super) weight: u32,
     pub(super) arrival: Timestamp,
-    /// Not later than the time of the delegation; `None` for a job of this
-    /// gateway's own, which no other gateway can ever recover.
+    /// Lower bound of the time of the delegation; `None` for a local job,
+    /// which no other gateway can recover.
     pub(super) delegated: Option<Timestamp>,
     pub(super) deadline: Timestamp,
     pub(super) mean_run_time: Span,
@@ -46,7 +45,7 @@
     pub(super) rank: Option<Rank>,
 }
 
-/// How long tasks of a class run.
+/// Moving average of the run time of a class, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeanRunTime(f64);
 
@@ -55,7 +54,7 @@
         self.key.delegation == dispatch.delegation && self.running.contains_key(&dispatch.task)
     }
 
-    /// At least the time since the delegation, as far as it matters.
+    /// Upper bound of the time since the delegation; zero for a local job.
     pub(super) fn age(&self, now: Timestamp) -> Span {
         self.delegated
             .map_or(Span::default(), |delegated| now.since(delegated))
--- a/laurelstile-core/src/gateway/links.rs
+++ b/laurelstile-core/src/gateway/links.rs
@@ -1,5 +1,5 @@
-//! What a gateway knows of the agents: sessions, free slots, unresolved
-//! dispatches and recent speed.
+//! A gateway's view of the agents: sessions, free slots, unresolved dispatches
+//! and recent speed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,30 +11,32 @@
 use crate::messages::agent::{Fence, SlotReport};
 use crate::session::{Remote, SessionId};
 
-/// An agent with unresolved dispatches gets no start after this silence.
+/// Maximum age of the last message of an agent with unresolved dispatches that
+/// still gets starts.
 pub const MAX_BUSY_REPORT_AGE: Span = Span::from_secs(2);
-/// An idle agent is asked for a fresh report before it gets a start after this
-/// silence.
+/// Maximum age of the last message of an idle agent that still gets starts; an
+/// older report is refreshed by a probe first.
 pub const MAX_IDLE_REPORT_AGE: Span = Span::from_secs(3);
-/// An idle agent is asked for a sign of life after this silence.
+/// Heartbeat interval to an idle agent that has not been heard from.
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_secs(8);
-/// How many agents, at least, are given whole revisions, if there are so many.
+/// Minimum number of agents that receive full revisions, if there are that
+/// many.
 const MIN_REVISION_HOLDERS: usize = 8;
-/// Pause between two requests for a fresh report.
+/// Minimum interval between two probes of an agent.
 const MIN_PROBE_INTERVAL: Span = Span::from_secs(1);
-/// A session from which nothing comes for this long is closed.
+/// A session that has received no message for this long is closed.
 pub const SESSION_TIMEOUT: Span = Span::from_secs(25);
 
-/// Weight of a new run in the running mean of an agent's slowness.
+/// Smoothing factor of the moving average of an agent's slowness.
 const SLOWNESS_SMOOTHING: f64 = 0.1;
-/// Steps of slowness within which agents count as equally fast.
+/// Resolution at which agents are compared by slowness.
 const SLOWNESS_STEPS_PER_UNIT: f64 = 4.0;
 
-/// Index of an agent's link; stable for the life of the gateway.
+/// Index of an agent's link; stable for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkIndex(usize);
 
-/// Preference among agents with free slots; lower goes first.
+/// Preference among agents with free slots; the lowest is chosen first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     slowness: u32,
@@ -42,57 +44,50 @@
     remote_zone: bool,
 }
 
-/// What a gateway knows of one agent.
+/// A gateway's view of one agent.
 #[derive(Debug)]
 pub struct Link {
-    /// Name of the back end.
     pub name: BackendName,
-    /// Its pool.
     pub pool: PoolName,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Whether the configuration in force names it.
+    /// Whether the configuration in force contains the back end.
     pub configured: bool,
-    /// Slots that the configuration gives it.
+    /// Number of slots in the configuration.
     pub slots: u32,
-    /// The open session.
     pub session: Option<SessionId>,
-    /// The latest incarnation seen.
     pub incarnation: Option<Incarnation>,
     /// When that incarnation started, on this gateway's clock.
     pub incarnation_started: Timestamp,
     /// The latest report in this session.
     pub report: SlotReport,
-    /// Whether the machine list says leaving.
+    /// Whether the machine list marks the machine as leaving.
     pub listed_leaving: bool,
-    /// Since when the machine list says gone.
+    /// Since when the machine list marks the machine as gone.
     pub listed_gone_since: Option<Timestamp>,
-    /// When the latest message came.
     pub last_heard: Timestamp,
-    /// When the latest message went.
     pub last_sent: Timestamp,
-    /// When the agent was last asked for a fresh report.
+    /// When the agent was last probed for a fresh report.
     pub probed_at: Timestamp,
     /// Starts sent in this session.
     pub starts_sent: u64,
-    /// Dispatches whose end is not known.
+    /// Dispatches whose outcome is unknown.
     pub unresolved: BTreeSet<DispatchId>,
     /// Submissions to release with the next message.
     pub pending_releases: Vec<SubmissionId>,
-    /// Submissions to cancel with the next flush.
+    /// Submissions to cancel at the next flush.
     pub pending_cancels: Vec<SubmissionId>,
-    /// Submissions to recover with the next flush.
+    /// Submissions to recover at the next flush.
     pub pending_fences: Vec<Fence>,
-    /// Revision last pushed in this session.
+    /// Revision last sent in this session.
     pub pushed_revision: u64,
-    /// Whether the agent was told in this session that it is leaving.
+    /// Whether the agent was notified in this session that it is leaving.
     pub leaving_notified: bool,
     slowness: f64,
     preference: Option<Preference>,
 }
 
 impl Link {
-    /// Whether the agent may get starts, as far as the last report tells.
+    /// Whether the agent accepts starts according to its last report.
     fn is_in_service(&self) -> bool {
         self.session.is_some()
             && self.configured
@@ -101,7 +96,7 @@
             && self.listed_gone_since.is_none()
     }
 
-    /// Whether the last report is young enough to send starts by it.
+    /// Whether the last message is recent enough to send starts.
     fn is_fresh(&self, now: Timestamp) -> bool {
         let max_age = if self.unresolved.is_empty() {
             MAX_IDLE_REPORT_AGE
@@ -111,8 +106,8 @@
         now.since(self.last_heard) <= max_age
     }
 
-    /// Slots that a fresh report would probably give; 0 if the last report is
-    /// fresh, or the agent was asked just now.
+    /// Slots that a probe would probably make available; 0 if the last report
+    /// is fresh or a probe was just sent.
     fn expected_slots(&self, now: Timestamp) -> u32 {
         let should_probe = self.is_in_service()
             && !self.is_fresh(now)
@@ -121,8 +116,8 @@
         if should_probe { self.report.free } else { 0 }
     }
 
-    /// Free slots: those reported less the starts that the report does not
-    /// know of yet.
+    /// Free slots as reported, less the starts that the report does not
+    /// include yet.
     pub fn available(&self, now: Timestamp) -> u32 {
         if !self.is_in_service() || !self.is_fresh(now) {
             return 0;
@@ -134,18 +129,18 @@
             .unwrap_or(u32::MAX)
     }
 
-    /// Whether the agent takes a task that was delegated `age` ago: only if it
-    /// was in its pool before.
+    /// Whether the agent accepts a task that was delegated `age` ago, that is,
+    /// whether it was in its pool by then.
     pub fn accepts_age(&self, age: Span) -> bool {
         self.report.clock >= self.report.member_since.after(age)
     }
 
-    /// Whether the link has a session that was heard from lately.
+    /// Whether a session is open and has not timed out.
     pub fn is_live(&self, now: Timestamp) -> bool {
         self.session.is_some() && now.since(self.last_heard) <= SESSION_TIMEOUT
     }
 
-    /// Notes how long a task ran against its class's mean.
+    /// Updates the slowness with a run time relative to the mean of its class.
     pub fn update_slowness(&mut self, run: Span, mean: Span) {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let ratio = run.0 as f64 / mean.0.max(1) as f64;
@@ -153,7 +148,7 @@
     }
 }
 
-/// All agents that a gateway knows.
+/// All agents known to a gateway.
 #[derive(Debug)]
 pub struct Links {
     zone: ZoneName,
@@ -164,7 +159,7 @@
 }
 
 impl Links {
-    /// No agents yet; `zone` is the gateway's own.
+    /// Creates an empty set; `zone` is the gateway's own.
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
@@ -175,7 +170,7 @@
         }
     }
 
-    /// The link of that name, made if it is not there.
+    /// Returns the link of a back end and creates it if needed.
     pub fn ensure(&mut self, name: &BackendName, pool: &PoolName, zone: &ZoneName) -> LinkIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
@@ -210,17 +205,14 @@
         index
     }
 
-    /// The link of that name.
     pub fn find(&self, name: &BackendName) -> Option<LinkIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The link of that session.
     pub fn of_session(&self, session: SessionId) -> Option<LinkIndex> {
         self.by_session.get(&session).copied()
     }
 
-    /// The link at an index.
     pub fn get(&self, index: LinkIndex) -> &Link {
         &self.links[index.0]
     }
@@ -230,9 +222,9 @@
         &mut self.links[index.0]
     }
 
-    /// Whether an agent is given whole revisions, which it can teach to
-    /// gateways that cannot read them in the table. Some [`MIN_REVISION_HOLDERS`] agents
-    /// are, spread over the configuration.
+    /// Whether an agent receives full revisions, which it can pass on to
+    /// gateways that cannot read the table. At least [`MIN_REVISION_HOLDERS`]
+    /// agents do, spread evenly over the configuration.
     pub fn gets_whole_revisions(&self, index: LinkIndex) -> bool {
         let stride = (self.links.len() / MIN_REVISION_HOLDERS).max(1);
         index.0.is_multiple_of(stride)
@@ -247,12 +239,10 @@
             .collect()
     }
 
-    /// Every index.
     pub fn indices(&self) -> impl Iterator<Item = LinkIndex> + use<> {
         (0..self.links.len()).map(LinkIndex)
     }
 
-    /// Every link.
     pub fn iter(&self) -> impl Iterator<Item = (LinkIndex, &Link)> {
         self.links
             .iter()
@@ -260,11 +250,11 @@
             .map(|(index, link)| (LinkIndex(index), link))
     }
 
-    /// Slots of each pool whose agents are in service now.
+    /// Slots of the agents in service, by pool.
     pub fn slots_in_service(&self) -> BTreeMap<PoolName, u32> {
         let mut slots: BTreeMap<PoolName, u32> = BTreeMap::new();
         for link in self.links.iter().filter(|link| link.is_in_service()) {
-            // The name is copied once a pool, not once a link at every tick.
+            // Clones the pool name once per pool instead of once per link.
             match slots.get_mut(&link.pool) {
                 Some(total) => *total += link.slots,
                 None => {
@@ -275,7 +265,7 @@
         slots
     }
 
-    /// Idle agents of `pool` to ask for a fresh report, enough for `tasks`.
+    /// Selects idle agents of `pool` to probe, until they cover `tasks` slots.
     pub fn choose_probes(&mut self, now: Timestamp, pool: &PoolName, tasks: u32) -> Vec<LinkIndex> {
         let mut chosen = Vec::new();
         let mut slots = 0;
@@ -293,8 +283,9 @@
         chosen
     }
 
-    /// Whether agents of `pool` have reported, and every one of them joined the
-    /// pool after `delegated`, a time on this gateway's clock.
+    /// Whether at least one agent of `pool` has reported and every agent that
+    /// has reported joined the pool after `delegated`, a time on this gateway's
+    /// clock.
     pub fn all_joined_after(&self, pool: &PoolName, delegated: Timestamp) -> bool {
         let mut any = false;
         for link in self.links.iter().filter(|link| link.pool == *pool) {
@@ -302,7 +293,7 @@
                 continue;
             }
             any = true;
-            // Membership as the report gives it, moved to this clock.
+            // Converts the agent's joining time to this gateway's clock.
             let member_for = link.report.clock.since(link.report.member_since);
             let joined = Timestamp(link.last_heard.since(Timestamp(member_for.0)).0);
             if joined <= delegated {
@@ -312,7 +303,7 @@
         any
     }
 
-    /// Notes a new session; the old one of the same link is given back.
+    /// Records a new session and returns the one that it replaces.
     pub fn open(
         &mut self,
         now: Timestamp,
@@ -325,7 +316,7 @@
         if link.incarnation != Some(remote.incarnation) {
             link.incarnation = Some(remote.incarnation);
             link.incarnation_started = Timestamp(now.since(Timestamp(remote.uptime.0)).0);
-            // What was to be told to the incarnation before is void.
+            // Requests for the previous incarnation no longer apply.
             link.pending_releases.clear();
             link.pending_cancels.clear();
         }
@@ -342,7 +333,8 @@
         old
     }
 
-    /// Notes that a session is closed; gives its link if it was the current.
+    /// Records that a session was closed; returns its link if it was the
+    /// current session.
     pub fn close(&mut self, now: Timestamp, session: SessionId) -> Option<LinkIndex> {
         let index = self.by_session.remove(&session)?;
         self.links[index.0].session = None;
@@ -350,7 +342,8 @@
         Some(index)
     }
 
-    /// The preferred agent of `pool` with a free slot, besides `skipped`.
+    /// The preferred agent of `pool` with a free slot that is not in
+    /// `skipped`.
     pub fn preferred(&self, pool: &PoolName, skipped: &BTreeSet<LinkIndex>) -> Option<LinkIndex> {
         self.available
             .get(pool)?
@@ -359,7 +352,7 @@
             .find(|index| !skipped.contains(index))
     }
 
-    /// Brings the preference of a link up to date after a change.
+    /// Updates a link's position in the order of preference after a change.
     pub fn refresh(&mut self, now: Timestamp, index: LinkIndex) {
         let link = &mut self.links[index.0];
         let preference = preference_of(link, now, &self.zone);
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway: takes submissions, has them scheduled by the pool's scheduler
-//! (itself or a peer), and gives whole answers.
+//! The gateway: accepts submissions, delegates them to the scheduler of their
+//! pool (itself or a peer), and answers callers with the complete result.
 
 mod agents;
 mod entry;
@@ -36,158 +36,159 @@
 
 pub use submission::{ClaimRequest, JobRequest};
 
-/// A gap between two events that mean_run_times that the process stood still.
+/// A gap between two events that indicates that the process was suspended.
 const SUSPENSION_THRESHOLD: Span = Span::from_secs(2);
-/// How long nothing is started after such a gap, or in a new process that
-/// cannot read the machine list.
+/// How long starts are held after a suspension, or in a new process that has
+/// not read the machine list.
 const START_HOLD_OFF: Span = Span::from_millis(1_500);
 
-/// What happens to a gateway.
+/// Input to the gateway's state machine.
 #[derive(Debug)]
 pub enum GatewayEvent {
-    /// A caller submits a job; `number` is new in this incarnation.
+    /// A caller submitted a job.
     Submit {
-        /// Number of the submission.
+        /// Sequence number, unique within this incarnation.
         number: u64,
-        /// The job.
+        /// The job to run.
         request: JobRequest,
     },
-    /// A caller's connection closed before its answer.
+    /// A caller closed its connection before it was answered.
     CallerGone {
-        /// Number of the submission.
+        /// Sequence number of its submission.
         number: u64,
     },
     /// The platform's table answered a claim.
     Claimed {
-        /// The submission.
+        /// Submission that requested the claim.
         submission: SubmissionId,
-        /// The answer.
+        /// Result of the request.
         outcome: ClaimOutcome,
     },
-    /// A session to an agent is open.
+    /// A session to an agent was opened.
     AgentOpened {
-        /// The session.
+        /// Identifier of the new session.
         session: SessionId,
-        /// The agent.
+        /// Name, incarnation and uptime that the agent announced.
         remote: Remote,
     },
-    /// An agent's host refused the connection: no process listens there.
+    /// An agent's host refused the connection: no process is listening there.
     AgentRefused {
-        /// Name of the back end.
+        /// Name of the agent's back end.
         backend: BackendName,
     },
-    /// A session to an agent is closed.
+    /// A session to an agent was closed.
     AgentClosed {
-        /// The session.
+        /// Identifier of the closed session.
         session: SessionId,
     },
-    /// A message from an agent came.
+    /// A message arrived from an agent.
     AgentMessage {
-        /// The session.
+        /// Session on which the message arrived.
         session: SessionId,
-        /// The message.
+        /// Decoded message.
         message: FromAgent,
     },
-    /// A session to a peer is open.
+    /// A session to a peer was opened.
     PeerOpened {
-        /// The session.
+        /// Identifier of the new session.
         session: SessionId,
-        /// The peer.
+        /// Name, incarnation and uptime that the peer announced.
         remote: Remote,
     },
-    /// A session to a peer is closed.
+    /// A session to a peer was closed.
     PeerClosed {
-        /// The session.
+        /// Identifier of the closed session.
         session: SessionId,
     },
-    /// A message from a peer came.
+    /// A message arrived from a peer.
     PeerMessage {
-        /// The session.
+        /// Session on which the message arrived.
         session: SessionId,
-        /// The message.
+        /// Decoded message.
         message: ToPeer,
     },
     /// A revision was read from the platform's table.
     Revision(Arc<Revision>),
     /// The platform's machine list was read.
     Machines(MachineList),
-    /// The process is asked to stop in a planned way.
+    /// The process was asked to shut down gracefully.
     Stop,
-    /// Time has passed.
+    /// Periodic timer; drives heartbeats, deadlines and time-outs.
     Tick,
 }
 
-/// The table's answer to a claim.
+/// Result of a claim on an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The submission has the claim.
+    /// The claim is held by this submission.
     Granted,
-    /// Another submission has it.
+    /// The claim is held by another submission.
     Taken,
-    /// The table cannot be reached; the claim may or may not be written.
+    /// The table could not be reached; the claim may or may not be written.
     Unavailable,
 }
 
-/// What a gateway wants done.
+/// Output of the gateway's state machine, to be carried out by its driver.
 #[derive(Debug)]
 pub enum GatewayEffect {
-    /// Send to an agent.
+    /// Send a message to an agent.
     ToAgent {
-        /// The session.
+        /// Session to send on.
         session: SessionId,
-        /// The message.
+        /// Message to send.
         message: ToAgent,
     },
-    /// Send to a peer.
+    /// Send a message to a peer.
     ToPeer {
-        /// The session.
+        /// Session to send on.
         session: SessionId,
-        /// The message.
+        /// Message to send.
         message: ToPeer,
     },
-    /// Close a session.
+    /// Close a session that was replaced, has timed out or is not configured.
     Close(SessionId),
     /// Answer a caller.
     Answer(Box<Answer>),
     /// Claim an idempotency key in the platform's table.
     Claim(ClaimRequest),
-    /// Give a claim back: its request was not run and will not be.
+    /// Release a claim whose request was not run and will not be.
     ReleaseClaim(ClaimRequest),
-    /// A revision is in force here.
+    /// The gateway applied this revision.
     InForce(Arc<Revision>),
-    /// Nothing is in flight any more; the process may exit.
+    /// A graceful shutdown is complete and the process may exit.
     Stopped,
 }
 
 /// The final answer to a submission.
 #[derive(Debug)]
 pub struct Answer {
-    /// The submission.
+    /// Submission that is answered.
     pub submission: SubmissionId,
-    /// Service.
+    /// Service named in the request.
     pub service: ServiceName,
-    /// Tenant.
+    /// Tenant named in the request.
     pub tenant: TenantName,
-    /// Class.
+    /// Class named in the request.
     pub class: ClassName,
-    /// Time since the submission came.
+    /// Time from acceptance to the answer; zero if the submission was rejected
+    /// on arrival.
     pub elapsed: Span,
-    /// The output of every task, or why there is none.
+    /// The outputs of all tasks in order, or the failure of the whole job.
     pub outcome: Result<Vec<Payload>, Failure>,
 }
 
-/// What distinguishes one gateway process from another.
+/// Identity of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Name of the gateway.
+    /// Name of the gateway, kept across restarts.
     pub name: GatewayName,
-    /// Incarnation of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Zone.
+    /// Zone in which the gateway runs; its agents are preferred.
     pub zone: ZoneName,
 }
 
-/// The gateway's machine.
+/// The gateway's state machine.
 #[derive(Debug)]
 pub struct Gateway {
     identity: Identity,
@@ -198,18 +199,18 @@
     /// No task is started before this time.
     starts_held_until: Timestamp,
     has_read_machines: bool,
-    /// Back ends that the machine list says are leaving, configured or not.
+    /// Back ends marked as leaving in the machine list, configured or not.
     leaving: BTreeSet<BackendName>,
     links: Links,
     peers: Peers,
     scheduler: Scheduler,
     submissions: BTreeMap<u64, Submission>,
-    /// Claims of submissions that were answered before these were decided.
+    /// Claims whose submissions were answered before the claim was decided.
     undecided_claims: BTreeMap<u64, ClaimRequest>,
 }
 
 impl Gateway {
-    /// A gateway without a configuration.
+    /// Creates a gateway without a configuration.
     pub fn new(identity: Identity) -> Self {
         Self {
             links: Links::new(identity.zone.clone()),
@@ -218,8 +219,8 @@
             stopping: false,
             stop_reported: false,
             last_handled: Timestamp::default(),
-            // A new process knows nothing of the machine list; its clock starts
-            // at zero.
+            // A new process has not read the machine list; its clock starts at
+            // zero.
             starts_held_until: Timestamp(START_HOLD_OFF.0),
             has_read_machines: false,
             leaving: BTreeSet::new(),
@@ -235,27 +236,28 @@
         self.identity.incarnation
     }
 
-    /// The revision in force here; 0 if none.
+    /// Number of the revision in force; 0 if none.
     pub fn revision_number(&self) -> RevisionNumber {
         self.revision.as_ref().map_or(0, |revision| revision.number)
     }
 
-    /// The revision in force here.
+    /// The revision in force; `None` until the first one is read.
     pub fn revision(&self) -> Option<&Arc<Revision>> {
         self.revision.as_ref()
     }
 
-    /// Whether new jobs are taken.
+    /// Whether new jobs are accepted.
     pub fn is_ready(&self) -> bool {
         !self.stopping && self.revision.is_some()
     }
 
-    /// Results that came for jobs that were over.
+    /// Number of results that arrived for jobs no longer scheduled here.
     pub fn late_results(&self) -> u64 {
         self.scheduler.late_results()
     }
 
-    /// Takes in one event. Call [`Gateway::flush`] after a batch of events.
+    /// Processes one event. Call [`Gateway::flush`] after each batch of
+    /// events.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -296,11 +298,11 @@
         }
     }
 
-    /// Sends what the events since the last flush gave rise to.
+    /// Sends the messages that the events since the last flush require.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         self.report_delegation_ends(now, effects);
         self.flush_agents(now, effects);
-        // Choosing tasks may have found jobs past their deadline.
+        // Dispatching may have failed jobs past their deadline.
         self.report_delegation_ends(now, effects);
         if self.stopping && self.is_idle() && !self.stop_reported {
             self.stop_reported = true;
@@ -309,7 +311,7 @@
         }
     }
 
-    /// What this gateway knows, for operators.
+    /// Status for operators: peers, agents and queue sizes.
     pub fn status(&self, now: Timestamp) -> Status {
         let peers = self.peers.iter().map(|(name, peer)| NodeStatus {
             name: name.to_string(),
@@ -341,9 +343,8 @@
         }
     }
 
-    /// A process that stood still acts on what it knew before. After such a
-    /// gap nothing is started until there was time to read the machine list
-    /// and what the other gateways have sent.
+    /// A suspended process resumes with stale state. Holds starts until the
+    /// machine list and the messages of other gateways could be read.
     fn detect_suspension(&mut self, now: Timestamp) {
         if now.since(self.last_handled) > SUSPENSION_THRESHOLD {
             self.starts_held_until = now.after(START_HOLD_OFF);
@@ -351,8 +352,9 @@
         self.last_handled = now;
     }
 
-    /// Before a planned stop: sends what others wait for, so that agents can
-    /// forget the outputs that they keep for this gateway.
+    /// Sends pending acknowledgements and releases before a graceful shutdown,
+    /// so that agents can discard the outputs that they retain for this
+    /// gateway.
     fn send_pending_notices(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         self.send_acknowledgements(now, effects);
         self.send_releases(now, effects);
@@ -364,8 +366,8 @@
             && self.scheduler.job_count() == 0
     }
 
-    /// Puts a newer revision in force; an older one is ignored, so that a
-    /// configuration never reverts.
+    /// Applies a revision newer than the current one; older ones are ignored,
+    /// so that a configuration never reverts.
     fn apply(&mut self, now: Timestamp, revision: Arc<Revision>, effects: &mut Vec<GatewayEffect>) {
         if revision.number <= self.revision_number() {
             return;
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -1,4 +1,4 @@
-//! The gateway's dealings with other gateways.
+//! Sessions of the gateway with other gateways.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
 };
 use crate::session::{Remote, SessionId};
 
-/// Acknowledgements wait this long for a message to ride on.
+/// Maximum delay before pending acknowledgements are sent without another
+/// message.
 const ACKNOWLEDGE_DELAY: Span = Span::from_millis(250);
 
 impl Gateway {
@@ -84,8 +85,9 @@
                     entry: incarnation,
                     delegated: Some(message.echo),
                 };
-                // An entry gateway that is behind would not know every agent
-                // that may get tasks; it has been sent the newer revision.
+                // An entry gateway with an older revision may not know every
+                // agent that can receive tasks. It has just been sent the
+                // newer revision.
                 let is_behind = message.revision < self.revision_number();
                 let is_stale = now.since(message.echo) > MAX_DELEGATION_ECHO_AGE;
                 let is_refused = self.stopping || is_behind || is_stale;
@@ -110,7 +112,8 @@
         }
     }
 
-    /// A peer has read in the machine list that back ends are leaving.
+    /// Handles a peer's notice that the machine list marks back ends as
+    /// leaving.
     fn on_leaving(
         &mut self,
         now: Timestamp,
@@ -174,8 +177,9 @@
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        // The end of a delegation that was recovered from this peer proves
-        // nothing to it; agents must keep what they know of the submission.
+        // The delegation was already recovered from this peer. Do not
+        // acknowledge its end: agents must keep their records of the
+        // submission.
         if peer.outstanding.remove(&end.key).is_none() {
             return;
         }
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Recovers everything that was delegated to a peer.
+    /// Recovers all delegations to a peer.
     fn recover_from(
         &mut self,
         now: Timestamp,
@@ -237,7 +241,7 @@
             .map_or_else(Vec::new, |peer| peer.outstanding.keys().copied().collect())
     }
 
-    /// Tells the entry gateways how delegations ended.
+    /// Reports the ends of delegations to their entry gateways.
     pub(super) fn report_delegation_ends(
         &mut self,
         now: Timestamp,
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Sends every pending acknowledgement on its own.
+    /// Sends all pending acknowledgements without waiting for another message.
     pub(super) fn send_acknowledgements(
         &mut self,
         now: Timestamp,
@@ -320,7 +324,8 @@
         }
     }
 
-    /// Sends the revision in force to a peer that is behind, once a session.
+    /// Sends the revision in force to a peer with an older one, at most once
+    /// per session.
     fn push_revision_to_peer(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the other gateways.
+//! A gateway's view of the other gateways.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,52 +9,52 @@
 use crate::messages::peer::DelegationKey;
 use crate::session::{Remote, SessionId};
 
-/// Heartbeat interval towards a peer with delegations either way.
+/// Heartbeat interval to a peer while it has delegations outstanding or any
+/// job is scheduled here.
 pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(300);
-/// Heartbeat interval towards other peers.
+/// Heartbeat interval to a peer otherwise.
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_millis(1_500);
-/// A peer is not chosen as a scheduler after this silence, and delegations
-/// to it are recovered.
+/// Time without a message after which a peer is not chosen as a scheduler and
+/// delegations to it are recovered.
 pub const SUSPECT_AFTER: Span = Span::from_secs(3);
-/// A delegation is sent back if its sender last heard from this gateway
-/// longer ago: it may have been recovered meanwhile.
+/// Maximum age of the clock reading echoed with a delegation. An older
+/// delegation may have been recovered in the meantime and is sent back.
 pub const MAX_DELEGATION_ECHO_AGE: Span = Span::from_secs(5);
-/// Delegations are recovered when a session was closed for this long.
+/// Time after the loss of a session at which delegations to the peer are
+/// recovered.
 pub const RECONNECT_GRACE: Span = Span::from_secs(1);
-/// A peer's own jobs are dropped after this silence.
+/// Time without a message after which the jobs delegated by a peer are
+/// dropped.
 pub const LOST_AFTER: Span = Span::from_secs(20);
 
-/// What a gateway knows of a peer.
+/// A gateway's view of one peer.
 #[derive(Debug)]
 pub struct Peer {
-    /// The open session.
     pub session: Option<SessionId>,
-    /// Its latest incarnation.
     pub incarnation: Incarnation,
-    /// When the session was closed, if it is.
+    /// When the session was closed; `None` while it is open.
     pub closed_since: Option<Timestamp>,
-    /// When the latest message came.
     pub last_heard: Timestamp,
-    /// When the latest message went.
     pub last_sent: Timestamp,
-    /// The latest reading of its clock.
+    /// The latest reading of the peer's clock; `None` for an incarnation that
+    /// has not sent a message.
     pub clock: Option<Timestamp>,
-    /// Whether it takes no delegations.
+    /// Whether it accepts no new delegations.
     pub stopping: bool,
-    /// Revision in force there.
+    /// Revision in force at the peer.
     pub revision: RevisionNumber,
-    /// Revision last pushed in this session.
+    /// Revision last sent in this session.
     pub pushed_revision: RevisionNumber,
-    /// Ends to acknowledge with the next message.
+    /// Submissions whose ends to acknowledge with the next message.
     pub pending_acknowledgements: Vec<SubmissionId>,
-    /// Delegations that it has from this gateway, with the time of sending.
+    /// Delegations from this gateway to the peer, with the time of sending.
     pub outstanding: BTreeMap<DelegationKey, Timestamp>,
-    /// Whether its jobs were dropped since it was last heard.
+    /// Whether its jobs were dropped since the last message.
     pub jobs_dropped: bool,
 }
 
 impl Peer {
-    /// Whether new jobs may be delegated to it.
+    /// Whether new jobs may be delegated to the peer.
     pub fn can_schedule(&self, now: Timestamp) -> bool {
         self.session.is_some()
             && self.clock.is_some()
@@ -62,7 +62,7 @@
             && now.since(self.last_heard) <= SUSPECT_AFTER
     }
 
-    /// Whether what was delegated to it must be recovered.
+    /// Whether delegations to the peer must be recovered.
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         if let Some(closed) = self.closed_since {
             return now.since(closed) > RECONNECT_GRACE;
@@ -73,15 +73,15 @@
     }
 }
 
-/// All gateways that this one knows.
+/// All peers known to a gateway.
 #[derive(Debug, Default)]
 pub struct Peers {
     by_name: BTreeMap<GatewayName, Peer>,
 }
 
 impl Peers {
-    /// Notes a new session; gives the old session and the old incarnation
-    /// where they differ.
+    /// Records a new session; returns the session and the incarnation that it
+    /// replaces.
     pub fn open(&mut self, now: Timestamp, session: SessionId, remote: &Remote) -> Reopened {
         let name = GatewayName(remote.name.clone());
         let peer = self.by_name.entry(name.clone()).or_insert_with(|| Peer {
@@ -116,7 +116,6 @@
         }
     }
 
-    /// Notes that a session is closed.
     pub fn close(&mut self, now: Timestamp, session: SessionId) {
         for peer in self.by_name.values_mut() {
             if peer.session == Some(session) {
@@ -126,7 +125,6 @@
         }
     }
 
-    /// The peer of that session.
     pub fn of_session(&self, session: SessionId) -> Option<GatewayName> {
         self.by_name
             .iter()
@@ -134,7 +132,6 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// The peer with that incarnation.
     pub fn of_incarnation(&self, incarnation: Incarnation) -> Option<GatewayName> {
         self.by_name
             .iter()
@@ -142,34 +139,29 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// The peer of that name.
     pub fn get(&self, name: &GatewayName) -> Option<&Peer> {
         self.by_name.get(name)
     }
 
-    /// The peer of that name.
     pub fn get_mut(&mut self, name: &GatewayName) -> Option<&mut Peer> {
         self.by_name.get_mut(name)
     }
 
-    /// Every peer.
     pub fn iter(&self) -> impl Iterator<Item = (&GatewayName, &Peer)> {
         self.by_name.iter()
     }
 
-    /// Every peer's name.
     pub fn names(&self) -> BTreeSet<GatewayName> {
         self.by_name.keys().cloned().collect()
     }
 }
 
-/// What a new session of a peer replaced.
+/// What a new session of a peer replaces.
 #[derive(Debug)]
 pub struct Reopened {
-    /// Name of the peer.
     pub name: GatewayName,
-    /// The session before.
+    /// The previous session, if it was open.
     pub old_session: Option<SessionId>,
-    /// The incarnation before, if it is another.
+    /// The previous incarnation, if it differs.
     pub lost_incarnation: Option<Incarnation>,
 }
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery of submissions whose scheduler was lost: the agents say what they
-//! started and refuse the lost delegation from then on; what none of them
-//! started goes to the next scheduler.
+//! Recovery of submissions whose scheduler was lost. The agents report which
+//! tasks they started and refuse further starts of the lost delegation; the
+//! remaining tasks are delegated to another scheduler.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
         if submission.key() != lost {
             return;
         }
-        // The fence is the next delegation's number.
+        // Only the next delegation may start tasks.
         let fence = Fence {
             submission: submission.id,
             delegation: submission.delegation + 1,
@@ -46,7 +46,7 @@
         self.finish_recovery(now, number, effects);
     }
 
-    /// An agent says what it started of a submission.
+    /// Handles an agent's report of the tasks that it started.
     pub(super) fn on_recovered(
         &mut self,
         now: Timestamp,
@@ -64,8 +64,8 @@
             return;
         }
         submission.fenced_at.insert(index);
-        // An incarnation younger than the submission cannot speak for the
-        // one before it.
+        // An incarnation younger than the submission does not know what its
+        // predecessor started.
         submission.starts_unknown |= started > submission.accepted;
         let mut failed = None;
         for (task, status) in recovered.tasks {
@@ -96,7 +96,7 @@
         self.answer_if_complete(now, number, effects);
     }
 
-    /// Goes on once every agent has answered.
+    /// Continues once all agents have reported.
     fn finish_recovery(&mut self, now: Timestamp, number: u64, effects: &mut Vec<GatewayEffect>) {
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
@@ -119,8 +119,8 @@
         self.delegate(now, number, effects);
     }
 
-    /// After a new session to an agent: asks again what it has of the
-    /// submissions that wait for its word.
+    /// Repeats the recovery requests to an agent after a new session, for
+    /// submissions that depend on its report.
     pub(super) fn requeue_recovery(&mut self, index: LinkIndex) {
         let fences: Vec<Fence> = self
             .submissions
@@ -137,7 +137,8 @@
         self.links.get_mut(index).pending_fences = fences;
     }
 
-    /// An agent's incarnation is gone: nothing can be learned of what it had.
+    /// Handles the loss of an agent's incarnation: the outcome of its tasks
+    /// cannot be determined.
     pub(super) fn on_agent_lost(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/gateway/scheduler/delegations.rs
+++ b/laurelstile-core/src/gateway/scheduler/delegations.rs
@@ -1,4 +1,5 @@
-//! Delegations: their deadlines, and what their entry gateways say of them.
+//! Lifecycle of delegations: deadlines, withdrawal, acknowledgement and loss
+//! of their entry gateways.
 
 use std::collections::BTreeSet;
 
@@ -22,9 +23,9 @@
         }
     }
 
-    /// Sends back the jobs of which nothing was sent out and that no agent
-    /// takes, since all joined the pool after the delegation. A new delegation
-    /// of them is younger than those agents.
+    /// Sends back jobs that have no started task and that no agent accepts,
+    /// because all agents joined the pool after the delegation. Delegating
+    /// them again gives them a later delegation time.
     pub fn send_back_stale(&mut self, now: Timestamp, links: &mut Links) {
         let stale: Vec<SubmissionId> = self
             .jobs
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The entry gateway has given a delegation up: stop it.
+    /// Cancels a delegation that its entry gateway has abandoned.
     pub fn withdraw(&mut self, key: DelegationKey, links: &mut Links) {
         if self.jobs.get(&key.submission).map(|job| job.key) == Some(key) {
             self.cancel_running(key.submission, links);
@@ -56,14 +57,16 @@
         self.acknowledge(key.submission, links);
     }
 
-    /// The entry gateway has the end of a job: agents may forget it.
+    /// Handles the acknowledgement of a job's end: agents may discard its
+    /// records.
     pub fn acknowledge(&mut self, submission: SubmissionId, links: &mut Links) {
         if let Some(ended) = self.ended.remove(&submission) {
             queue_release(submission, &ended.contacted, links);
         }
     }
 
-    /// Another gateway has taken over older delegations than `fence`.
+    /// Discards a delegation older than `fence`, which another gateway has
+    /// taken over.
     pub fn supersede(&mut self, fence: DelegationKey, links: &mut Links) {
         let current = self.jobs.get(&fence.submission).map(|job| job.key);
         if current.is_some_and(|key| key.delegation < fence.delegation) {
@@ -71,8 +74,8 @@
         }
     }
 
-    /// Forgets the jobs of `entry` that are not among `outstanding`, since that
-    /// gateway has recovered or given up the others.
+    /// Discards the jobs of `entry` that are not in `outstanding`: that
+    /// gateway has recovered or abandoned them.
     pub fn retain_delegations(
         &mut self,
         entry: Incarnation,
@@ -88,8 +91,8 @@
             .retain(|_, ended| ended.entry != entry || outstanding.contains(&ended.end.key));
     }
 
-    /// The entry gateway is gone: nobody waits for its jobs. Agents are not
-    /// told to forget what they started, since the gateway may yet be alive.
+    /// Drops the jobs of a lost entry gateway. Agents keep their records of
+    /// what was started, since the gateway may still be alive.
     pub fn on_entry_lost(&mut self, entry: Incarnation, links: &mut Links) {
         for key in self.keys_of(entry) {
             self.cancel_running(key.submission, links);
@@ -98,7 +101,7 @@
         self.ended.retain(|_, ended| ended.entry != entry);
     }
 
-    /// Ends that `entry` has not acknowledged.
+    /// Ends of delegations that `entry` has not acknowledged.
     pub fn unacknowledged(&self, entry: Incarnation) -> Vec<DelegationEnd> {
         self.ended
             .values()
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler of a pool: holds delegated jobs, sends their tasks to free
-//! slots in the order of the queue, and gathers whole answers.
+//! The scheduler of a pool: queues delegated jobs, dispatches their tasks to
+//! free slots, and collects the outputs.
 
 mod delegations;
 mod tasks;
@@ -18,16 +18,17 @@
 use super::queue::Queue;
 use crate::messages::peer::{Delegation, DelegationEnd, DelegationKey, DelegationOutcome};
 
-/// How long a job waits before it is sent back as too old for every agent.
+/// Minimum waiting time of a job before it is sent back because every agent
+/// joined after its delegation.
 const SEND_BACK_DELAY: Span = Span::from_millis(200);
 
-/// Where a delegation comes from.
+/// Origin of a delegation.
 #[derive(Clone, Copy, Debug)]
 pub struct Origin {
     /// Incarnation of the entry gateway.
     pub entry: Incarnation,
-    /// A time, on this gateway's clock, not later than that of the delegation;
-    /// `None` for a job of this gateway's own.
+    /// Lower bound of the time of the delegation, on this gateway's clock;
+    /// `None` for a local job.
     pub delegated: Option<Timestamp>,
 }
 
@@ -39,12 +40,10 @@
     contacted: BTreeSet<LinkIndex>,
 }
 
-/// An end that is to be told to an entry gateway.
+/// An end to report to an entry gateway.
 #[derive(Debug)]
 pub struct PendingEnd {
-    /// Incarnation of the entry gateway.
     pub entry: Incarnation,
-    /// The end.
     pub end: DelegationEnd,
 }
 
@@ -61,7 +60,7 @@
 }
 
 impl Scheduler {
-    /// Takes over the capacity of the pools of a new configuration.
+    /// Updates the queues for a new configuration.
     pub fn configure(&mut self, configuration: &Configuration) {
         for pool in &configuration.pools {
             let slots = pool.slots();
@@ -73,8 +72,8 @@
         }
     }
 
-    /// Takes over the slots that are in service, by which waiting times are
-    /// estimated. A pool without any keeps the number that it had.
+    /// Updates the slots on which waiting times are estimated. A pool that is
+    /// not in `slots` keeps its number.
     pub fn set_slots_in_service(&mut self, slots: &BTreeMap<PoolName, u32>) {
         for (pool, slots) in slots {
             if let Some(queue) = self.queues.get_mut(pool) {
@@ -83,12 +82,11 @@
         }
     }
 
-    /// Jobs that are not ended.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tasks that wait in all queues.
+    /// Number of waiting tasks in all queues.
     pub fn queued_tasks(&self) -> u64 {
         self.queues
             .values()
@@ -96,7 +94,7 @@
             .sum()
     }
 
-    /// Tasks that wait, by pool.
+    /// Number of waiting tasks by pool, without empty pools.
     pub fn waiting(&self) -> Vec<(PoolName, u32)> {
         self.queues
             .iter()
@@ -105,29 +103,30 @@
             .collect()
     }
 
-    /// Results that came for jobs that were over.
+    /// Number of results that arrived for jobs no longer scheduled here.
     pub fn late_results(&self) -> u64 {
         self.late_results
     }
 
-    /// Whether that very delegation is here, ended or not.
+    /// Whether this delegation is known here, ended or not.
     pub fn contains(&self, key: DelegationKey) -> bool {
         let running = self.jobs.get(&key.submission).map(|job| job.key);
         let ended = self.ended.get(&key.submission).map(|ended| ended.end.key);
         running == Some(key) || ended == Some(key)
     }
 
-    /// Whether a task of `submission` is unresolved here.
+    /// Whether the outcome of `dispatch` is still expected here.
     pub fn is_running(&self, dispatch: DispatchId) -> bool {
         self.jobs
             .get(&dispatch.submission)
             .is_some_and(|job| job.is_running(dispatch))
     }
 
-    /// Takes a job in, whole or not at all.
+    /// Accepts a whole job or nothing of it.
     ///
     /// # Errors
-    /// Why it is refused; nothing of it was or will be started.
+    ///
+    /// The reason for the refusal; none of its tasks was or will be started.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -136,7 +135,7 @@
         configuration: &Configuration,
         links: &mut Links,
     ) -> Result<(), Failure> {
-        // An older delegation of the same submission has been recovered.
+        // An earlier delegation of the submission has been recovered.
         self.discard(delegation.key.submission, links);
         let mean_run_time =
             self.mean_run_time(configuration, &delegation.service, &delegation.class);
@@ -162,7 +161,7 @@
             contacted: BTreeSet::new(),
             rank: None,
         };
-        // A recovered submission was admitted before.
+        // A recovered submission was already admitted.
         let is_first = job.key.delegation == FIRST_DELEGATION;
         if is_first {
             self.admit(&job, delegation.time_left, configuration)?;
@@ -213,7 +212,7 @@
         Ok(())
     }
 
-    /// Takes the ends that are to be told.
+    /// Takes the ends that have not been reported yet.
     pub fn take_pending_ends(&mut self) -> Vec<PendingEnd> {
         std::mem::take(&mut self.pending_ends)
     }
@@ -232,7 +231,7 @@
         }
     }
 
-    /// Puts a job at the rank that its remaining work gives.
+    /// Moves a job to the position given by its remaining work.
     fn update_rank(&mut self, submission: SubmissionId) {
         let Some(job) = self.jobs.get_mut(&submission) else {
             return;
@@ -309,7 +308,7 @@
         self.ended.insert(ended.end.key.submission, ended);
     }
 
-    /// Asks the agents to stop what runs of a job.
+    /// Requests cancellation of a job's running tasks from their agents.
     fn cancel_running(&mut self, submission: SubmissionId, links: &mut Links) {
         let Some(job) = self.jobs.get(&submission) else {
             return;
@@ -320,7 +319,7 @@
         }
     }
 
-    /// Takes a job out of every list, without an end.
+    /// Removes a job from all indexes without recording an end.
     fn remove(&mut self, submission: SubmissionId, links: &mut Links) -> Option<Job> {
         let job = self.jobs.remove(&submission)?;
         self.deadlines.remove(&(job.deadline, submission));
--- a/laurelstile-core/src/gateway/scheduler/tasks.rs
+++ b/laurelstile-core/src/gateway/scheduler/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks: which goes where, and what becomes of it.
+//! Dispatch of tasks to agents and handling of their outcomes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,8 @@
 use crate::messages::peer::{DelegatedTask, TaskOutput};
 
 impl Scheduler {
-    /// Chooses tasks for free slots, best job first, best agent first.
+    /// Assigns waiting tasks to free slots: preferred agents first, then the
+    /// first job in the queue's order that the agent accepts.
     pub fn dispatch(
         &mut self,
         now: Timestamp,
@@ -37,7 +38,7 @@
         starts
     }
 
-    /// The job whose task goes next to an agent.
+    /// The job whose next task can be dispatched to an agent.
     pub(super) fn next_submission_for(
         &self,
         now: Timestamp,
@@ -52,8 +53,8 @@
         })
     }
 
-    /// Takes the job's next task for a slot of `link`; `None` past the
-    /// deadline, after which no task may start.
+    /// Dispatches the job's next task to `link`; `None` past the deadline,
+    /// after which no task may start.
     pub(super) fn start_next(
         &mut self,
         now: Timestamp,
@@ -97,7 +98,7 @@
         Some(start)
     }
 
-    /// A task has ended.
+    /// Handles the outcome of a task.
     pub fn on_task_ended(
         &mut self,
         now: Timestamp,
@@ -133,7 +134,7 @@
         links.refresh(now, link);
     }
 
-    /// A dispatch was proved not to have been started.
+    /// Handles a dispatch that definitely was not started.
     pub fn on_not_started(
         &mut self,
         now: Timestamp,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The fate of a dispatch of an earlier session is known.
+    /// Handles the reported status of a dispatch from an earlier session.
     pub fn on_reconciled(
         &mut self,
         now: Timestamp,
@@ -179,7 +180,8 @@
         }
     }
 
-    /// An agent's incarnation is gone: what it had cannot be known any more.
+    /// Handles the loss of an agent's incarnation: its unresolved dispatches
+    /// have an unknown outcome.
     pub fn on_agent_lost(&mut self, link: LinkIndex, links: &mut Links) {
         let unresolved = std::mem::take(&mut links.get_mut(link).unresolved);
         let submissions: BTreeSet<SubmissionId> = unresolved
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Notes that a dispatch is resolved; gives its link if the job is here.
+    /// Marks a dispatch as resolved; returns its link if it was running here.
     pub(super) fn resolve(&mut self, dispatch: DispatchId, links: &mut Links) -> Option<LinkIndex> {
         let job = self.jobs.get_mut(&dispatch.submission)?;
         if !job.is_running(dispatch) {
--- a/laurelstile-core/src/gateway/submission.rs
+++ b/laurelstile-core/src/gateway/submission.rs
@@ -1,4 +1,4 @@
-//! A submission as its entry gateway holds it.
+//! State of a submission at its entry gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,95 +12,89 @@
 use crate::messages::peer::{DelegatedTask, DelegationKey};
 use crate::payload::Payload;
 
-/// A job as a caller sends it.
+/// A job as requested by a caller.
 #[derive(Clone, Debug)]
 pub struct JobRequest {
-    /// Service.
+    /// Service that runs the job.
     pub service: ServiceName,
-    /// Tenant that pays.
+    /// Tenant to whose quota the job counts.
     pub tenant: TenantName,
-    /// Class of its tasks.
+    /// Class of all tasks of the job.
     pub class: ClassName,
-    /// Input of each task.
+    /// One opaque input per task.
     pub inputs: Vec<Payload>,
-    /// Longest wait that the caller asks for.
+    /// Requested time limit, capped by that of the class; `None` for the limit
+    /// of the class.
     pub deadline: Option<Span>,
-    /// Key of a request that may not be repeated.
+    /// Required for classes that are not repeatable.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// The claim on a request that may not be repeated.
+/// A claim on the idempotency key of a request that must not run twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Service.
+    /// Service of the request.
     pub service: ServiceName,
-    /// Tenant whose key it is.
+    /// Tenant that chose the key.
     pub tenant: TenantName,
-    /// The key.
+    /// Key as sent by the caller.
     pub key: IdempotencyKey,
-    /// Submission that claims it.
+    /// Submission that requests the claim.
     pub submission: SubmissionId,
 }
 
-/// Which gateway schedules a delegation.
+/// The gateway that schedules a delegation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AssignedScheduler {
-    /// This one.
+    /// This gateway.
     Local,
-    /// Another.
+    /// Another gateway.
     Peer(GatewayName),
 }
 
-/// How far a submission has come.
+/// Progress of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Waits for its claim in the platform's table.
+    /// Waiting for the platform's table to decide the claim.
     Claiming,
-    /// A scheduler has it.
+    /// Delegated to a scheduler.
     Delegated(AssignedScheduler),
-    /// The scheduler was lost; these agents have yet to say what they started.
+    /// The scheduler was lost; these agents have not reported yet what they
+    /// started.
     Recovering(BTreeSet<LinkIndex>),
-    /// Only tasks that agents report directly are left.
+    /// Waiting only for tasks that agents report directly.
     Collecting,
 }
 
-/// A submission that waits for its answer.
+/// A submission that has not been answered.
 #[derive(Debug)]
 pub struct Submission {
-    /// Identifier.
     pub id: SubmissionId,
-    /// Service.
     pub service: ServiceName,
-    /// Pool of the service.
     pub pool: PoolName,
-    /// Tenant that pays.
     pub tenant: TenantName,
-    /// Class of its tasks.
     pub class: ClassName,
-    /// When it came.
     pub accepted: Timestamp,
-    /// When it must be answered.
     pub deadline: Timestamp,
-    /// Input of each task.
     pub inputs: Vec<Payload>,
-    /// Output of each task that has ended.
+    /// Output of each task; `None` until it has ended.
     pub outputs: Vec<Option<Payload>>,
-    /// Number of the latest delegation.
+    /// Number of the latest delegation; 0 before the first.
     pub delegation: DelegationNumber,
-    /// How far it has come.
     pub phase: Phase,
-    /// Tasks that agents run and report here directly.
+    /// Recovered tasks that are still running, with the agent that reports
+    /// them here directly.
     pub running_at: BTreeMap<TaskIndex, LinkIndex>,
-    /// Agents that keep a fence for it.
+    /// Agents that hold a fence for the submission.
     pub fenced_at: BTreeSet<LinkIndex>,
-    /// Whether an agent's memory of it was lost.
+    /// Whether an agent that may have started tasks of it no longer knows.
     pub starts_unknown: bool,
-    /// The claim, where it has one.
+    /// The claim; `None` for a repeatable class or if another submission holds
+    /// it.
     pub claim: Option<ClaimRequest>,
 }
 
 impl Submission {
-    /// Key of the latest delegation.
     pub fn key(&self) -> DelegationKey {
         DelegationKey {
             submission: self.id,
@@ -108,7 +102,7 @@
         }
     }
 
-    /// Tasks that neither have an output nor run under a direct report.
+    /// Tasks that have no output and are not running under a direct report.
     pub fn missing_tasks(&self) -> Vec<DelegatedTask> {
         let mut missing = Vec::new();
         for (index, output) in (0..).zip(&self.outputs) {
@@ -122,19 +116,17 @@
         missing
     }
 
-    /// Whether every task has its output.
     pub fn is_complete(&self) -> bool {
         self.outputs.iter().all(Option::is_some)
     }
 
-    /// Whether it is known that tasks of it were started.
+    /// Whether tasks are known to have started, or may have without a record.
     pub fn has_run(&self) -> bool {
         self.starts_unknown
             || !self.running_at.is_empty()
             || self.outputs.iter().any(Option::is_some)
     }
 
-    /// Notes the output of a task.
     pub fn set_output(&mut self, index: TaskIndex, output: Payload) {
         self.running_at.remove(&index);
         if let Some(output_slot) = self.outputs.get_mut(index as usize) {
--- a/laurelstile-core/src/lib.rs
+++ b/laurelstile-core/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decision logic of laurelstile as deterministic machines without I/O.
+//! The decision logic of laurelstile as deterministic state machines without
+//! I/O.
 //!
-//! Each role is a machine: events go in through `handle(now, event, effects)`,
-//! effects come out; `flush(now, effects)` ends a batch of events. Clock,
-//! identifiers and random numbers are passed in, so that the daemon, the
-//! emulator and the tests drive the same code.
+//! Each role is a state machine: `handle(now, event, effects)` processes an
+//! event and appends effects; `flush(now, effects)` completes a batch of
+//! events. Clock readings, identifiers and random numbers are passed in, so
+//! that the daemon, the emulator and the tests run the same code.
 #![deny(warnings)]
 #![forbid(unsafe_code)]
 
--- a/laurelstile-core/src/messages/agent.rs
+++ b/laurelstile-core/src/messages/agent.rs
@@ -14,53 +14,53 @@
 /// A message from a gateway to an agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ToAgent {
-    /// The latest clock reading of the agent that the gateway has seen. The
-    /// agent refuses starts whose reading is older than its freshness bound.
+    /// The latest reading of the agent's clock that the gateway has received.
+    /// The agent refuses starts with an older reading than it allows.
     pub echo: Timestamp,
-    /// Revision in force at the gateway.
+    /// Revision in force at the gateway; 0 if none.
     pub revision: RevisionNumber,
-    /// Submissions whose answers are out; the agent may forget them.
+    /// Answered submissions, whose records the agent may discard.
     pub release: Vec<SubmissionId>,
-    /// What the message is about.
+    /// Payload of the message.
     pub body: ToAgentBody,
 }
 
-/// What a gateway tells an agent.
+/// Payload of a message from a gateway to an agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToAgentBody {
-    /// Nothing but the envelope.
+    /// Carries only the envelope.
     Heartbeat,
-    /// Start tasks, one slot each.
+    /// Starts tasks, one slot each.
     Start(Vec<StartTask>),
-    /// After a new session: what became of these dispatches?
+    /// Requests the status of these dispatches after a new session.
     Reconcile(Vec<DispatchId>),
-    /// Refuse older delegations of these submissions, say what was started,
-    /// and send what is still to come to this gateway.
+    /// Fences superseded delegations of these submissions, requests a report
+    /// of the started tasks, and redirects their results to this gateway.
     Recover(Vec<Fence>),
-    /// Stop the tasks of these submissions.
+    /// Stops the running tasks of these submissions.
     Cancel(Vec<SubmissionId>),
-    /// A newer revision than the agent's, whole: the agent can teach it to
-    /// gateways.
+    /// A revision newer than the agent's, in full, so that the agent can pass
+    /// it on to other gateways.
     Revision(Arc<Revision>),
-    /// A newer revision than the agent's, as far as it concerns the agent.
+    /// The agent's own part of a revision newer than the agent's.
     Membership(Membership),
-    /// The machine list says that the agent's machine is leaving.
+    /// The machine list marks the agent's machine as leaving.
     Leaving,
 }
 
-/// What a revision says of one back end.
+/// The part of a revision that concerns one back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Number of the revision.
     pub revision: RevisionNumber,
-    /// Slots of the back end; 0 if the revision does not name it.
+    /// Number of slots; 0 if the revision does not contain the back end.
     pub slots: u32,
-    /// Whether it is drained.
+    /// Whether the back end is drained.
     pub drained: bool,
 }
 
 impl Membership {
-    /// What `revision` says of the back end `name`.
+    /// Extracts the membership of the back end `name` from `revision`.
     pub fn of(revision: &Revision, name: &BackendName) -> Self {
         let backend = revision
             .configuration
@@ -74,168 +74,171 @@
     }
 }
 
-/// One task to start.
+/// A task to start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartTask {
-    /// Identifies the dispatch.
+    /// Identifier of the dispatch, reported back with the result.
     pub dispatch: DispatchId,
     /// Service that the task belongs to.
     pub service: ServiceName,
-    /// Class of the task.
+    /// Class of the task within the service.
     pub class: ClassName,
-    /// At least the time since the entry gateway delegated the task. An agent
-    /// that joined its pool later refuses it, as it may have missed a fence.
+    /// Upper bound of the time since the entry gateway delegated the task. An
+    /// agent that joined its pool later refuses the task, as it may have
+    /// missed a fence.
     pub age: Span,
-    /// Time left until the job's deadline. The agent keeps the output for so
-    /// long, unless it is released before.
+    /// Time left until the job's deadline. Until then the agent retains the
+    /// output, unless it is released earlier.
     pub time_left: Span,
-    /// Input of the task.
+    /// Opaque input passed to the back end.
     pub input: Payload,
 }
 
-/// The least delegation of a submission that may still start tasks.
+/// The lowest delegation number of a submission that may still start tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// The submission.
+    /// Submission that is fenced.
     pub submission: SubmissionId,
-    /// Older delegations are refused from now on.
+    /// Delegations with a lower number are refused.
     pub delegation: DelegationNumber,
 }
 
 /// A message from an agent to a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FromAgent {
-    /// State of the agent's slots.
+    /// State of the agent's slots at the time of sending.
     pub report: SlotReport,
-    /// What the message is about.
+    /// Payload of the message.
     pub body: FromAgentBody,
 }
 
-/// State of an agent as it is in every message of its.
+/// State of an agent, included in each of its messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotReport {
-    /// The agent's clock.
+    /// The agent's clock at the time of sending.
     pub clock: Timestamp,
-    /// Revision in force at the agent.
+    /// Revision in force at the agent; 0 if none.
     pub revision: RevisionNumber,
     /// Slots that the receiving gateway may fill.
     pub free: u32,
-    /// Task starts of this session that the agent has dealt with so far.
+    /// Number of starts of this session that the agent has processed.
     pub processed: u64,
-    /// Whether the agent takes no new work.
+    /// Whether the agent refuses new work.
     pub draining: bool,
-    /// Since when, on the agent's clock, its back end is in the configuration.
+    /// When the back end was last added to the configuration, on the agent's
+    /// clock.
     pub member_since: Timestamp,
 }
 
-/// What an agent tells a gateway.
+/// Payload of a message from an agent to a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum FromAgentBody {
-    /// Nothing but the report.
+    /// Carries only the report.
     Heartbeat,
-    /// Tasks that have ended.
+    /// Outcomes of tasks that have ended.
     Results(Vec<TaskResult>),
-    /// Proof that these dispatches were not started.
+    /// Dispatches that were definitely not started.
     NotStarted(Vec<NotStarted>),
-    /// What became of the dispatches that the gateway asked for.
+    /// Status of the dispatches in a `Reconcile` request.
     Reconciled(Vec<Reconciled>),
-    /// What was started of the submissions that the gateway recovers.
+    /// Started tasks of the submissions in a `Recover` request.
     Recovered(Vec<Recovered>),
-    /// Another gateway has taken over these submissions: older delegations
-    /// than the fences start nothing more here.
+    /// Another gateway has taken over these submissions; delegations with a
+    /// lower number than the fence start no more tasks here.
     Superseded(Vec<Fence>),
-    /// A newer revision than the gateway's.
+    /// A revision newer than the gateway's.
     Revision(Arc<Revision>),
 }
 
-/// A task that has ended.
+/// The outcome of a task that has ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskResult {
-    /// The dispatch.
+    /// Dispatch that started the task.
     pub dispatch: DispatchId,
-    /// How long the back end took, in microseconds.
+    /// Run time as measured by the agent, in microseconds.
     pub run_micros: u64,
-    /// How it ended.
+    /// How the task ended.
     pub outcome: TaskOutcome,
 }
 
 /// How a started task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskOutcome {
-    /// The back end's answer.
+    /// Response of the back end.
     Output(Payload),
-    /// The back end answered with an error.
+    /// The back end responded with an error.
     Failed,
-    /// The connection to the back end broke after the request was sent.
+    /// The connection to the back end was lost after the request had been
+    /// sent.
     Unknown,
-    /// Stopped at a gateway's request.
+    /// Stopped at the request of a gateway.
     Cancelled,
-    /// It ended, but the agent had no room to keep the output.
+    /// The task ended, but its output exceeded the agent's retention limit.
     OutputLost,
 }
 
 /// A dispatch that was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotStarted {
-    /// The dispatch.
+    /// Dispatch that was refused.
     pub dispatch: DispatchId,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: NotStartedReason,
 }
 
 /// Why a dispatch was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NotStartedReason {
-    /// All slots are taken.
+    /// All slots are occupied.
     Full,
-    /// The agent takes no new work.
+    /// The agent refuses new work.
     Draining,
     /// The sender's revision is older than the agent's.
     StaleRevision,
-    /// The sender has not heard from the agent for too long.
+    /// The clock reading echoed by the sender is too old.
     StaleSender,
-    /// A newer delegation of the submission exists, or it is over.
+    /// A newer delegation of the submission exists, or the submission was
+    /// released.
     Fenced,
     /// The task was started before.
     Duplicate,
     /// The task was delegated before the agent joined its pool.
     OlderThanAgent,
-    /// The back end refused the connection.
+    /// The back end refused the connection, now or shortly before.
     BackendUnreachable,
 }
 
-/// What became of a dispatch from an earlier session.
+/// Status of a dispatch from an earlier session.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Reconciled {
-    /// The dispatch.
+    /// Dispatch that the gateway asked for.
     pub dispatch: DispatchId,
-    /// What became of it.
+    /// Status of the dispatch at the agent.
     #[serde(rename = "fate")]
     pub status: DispatchStatus,
 }
 
-/// What became of a dispatch.
+/// Status of a dispatch at its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchStatus {
-    /// It never came, and now never will: its session is closed.
+    /// Never received, and no longer able to arrive: its session is closed.
     NeverReceived,
-    /// It runs.
+    /// Started and still running.
     Running,
-    /// It has ended.
+    /// Started and ended.
     Finished {
-        /// How long it ran, in microseconds.
+        /// Run time as measured by the agent, in microseconds.
         run_micros: u64,
-        /// How it ended.
+        /// Outcome; `OutputLost` if the output was not retained.
         outcome: TaskOutcome,
     },
 }
 
-/// What an agent had started of a submission.
+/// The tasks of a submission that an agent has started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Recovered {
-    /// The fence that the agent now keeps.
+    /// Fence as requested; the agent may hold a higher one.
     pub fence: Fence,
-    /// Tasks that were started; no other ever will be under an older
-    /// delegation.
+    /// Started tasks. No others will start under a delegation below the fence.
     pub tasks: Vec<(TaskIndex, DispatchStatus)>,
 }
--- a/laurelstile-core/src/messages/kinds.rs
+++ b/laurelstile-core/src/messages/kinds.rs
@@ -1,4 +1,4 @@
-//! Names of the messages, for counters.
+//! Message names used as labels of traffic counters.
 
 use super::agent::{FromAgent, FromAgentBody, ToAgent, ToAgentBody};
 use super::peer::{ToPeer, ToPeerBody};
--- a/laurelstile-core/src/messages/mod.rs
+++ b/laurelstile-core/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between laurelstile's own processes.
+//! Messages exchanged by gateways and agents of the slot path.
 
 pub mod agent;
 mod kinds;
--- a/laurelstile-core/src/messages/peer.rs
+++ b/laurelstile-core/src/messages/peer.rs
@@ -16,106 +16,107 @@
 /// A message from one gateway to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ToPeer {
-    /// Revision in force at the sender.
+    /// Revision in force at the sender; 0 if none.
     pub revision: RevisionNumber,
-    /// Whether the sender takes no new delegations.
+    /// Whether the sender is shutting down and accepts no new delegations.
     pub stopping: bool,
-    /// The sender's clock.
+    /// The sender's clock at the time of sending.
     pub clock: Timestamp,
-    /// The latest reading of the receiver's clock that the sender has seen.
+    /// The latest reading of the receiver's clock that the sender has
+    /// received.
     pub echo: Timestamp,
-    /// Submissions whose ends the sender, their entry gateway, has; the
-    /// receiver may forget them.
+    /// Submissions whose ends the sender, their entry gateway, has received;
+    /// the receiver may discard them.
     pub acknowledge: Vec<SubmissionId>,
-    /// What the message is about.
+    /// Payload of the message.
     pub body: ToPeerBody,
 }
 
-/// What a gateway tells another.
+/// Payload of a message between gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToPeerBody {
-    /// Nothing but the envelope.
+    /// Carries only the envelope.
     Heartbeat,
-    /// Schedule a job. The entry gateway keeps the submission.
+    /// Requests scheduling of a job. The entry gateway keeps the submission.
     Delegate(Box<Delegation>),
-    /// The end of a delegation.
+    /// Reports the end of a delegation to its entry gateway.
     Done(Box<DelegationEnd>),
-    /// The entry gateway no longer wants these delegations.
+    /// Cancels delegations that the entry gateway has abandoned.
     Withdraw(Vec<DelegationKey>),
-    /// After a new session: the delegations that the entry gateway believes
-    /// the other has.
+    /// After a new session: the delegations that the entry gateway considers
+    /// outstanding at the receiver.
     Outstanding(Vec<DelegationKey>),
-    /// Those of `Outstanding` that are not there.
+    /// The delegations in `Outstanding` that are unknown to the sender.
     NotHere(Vec<DelegationKey>),
-    /// A newer revision than the receiver's.
+    /// A revision newer than the receiver's.
     Revision(Arc<Revision>),
-    /// Back ends that the machine list, as the sender read it, says are
-    /// leaving.
+    /// Back ends marked as leaving in the machine list as read by the sender.
     Leaving(Vec<BackendName>),
 }
 
-/// One delegation of a submission.
+/// Identifier of a delegation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DelegationKey {
-    /// The submission.
+    /// Submission that is delegated.
     pub submission: SubmissionId,
-    /// Number of the delegation.
+    /// Sequence number within the submission, starting at 1.
     pub delegation: DelegationNumber,
 }
 
-/// A job handed to a scheduler.
+/// A job delegated to a scheduler.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Delegation {
-    /// Identifies the delegation.
+    /// Identifier of the delegation.
     pub key: DelegationKey,
-    /// Pool that must run it.
+    /// Pool whose slots run the job.
     pub pool: PoolName,
-    /// Service.
+    /// Service that the tasks belong to.
     pub service: ServiceName,
-    /// Class of its tasks.
+    /// Class of all tasks.
     pub class: ClassName,
-    /// Tenant that pays.
+    /// Tenant to whose quota the job counts.
     pub tenant: TenantName,
-    /// Time left until the deadline.
+    /// Time left until the job's deadline.
     pub time_left: Span,
-    /// The tasks to run.
+    /// Tasks that have neither ended nor are running under recovery.
     pub tasks: Vec<DelegatedTask>,
 }
 
 /// One task of a delegation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DelegatedTask {
-    /// Index in the submission.
+    /// Index of the task within the submission.
     pub index: TaskIndex,
-    /// Input.
+    /// Opaque input passed to the back end.
     pub input: Payload,
 }
 
-/// How a delegation ended.
+/// The end of a delegation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DelegationEnd {
-    /// Identifies the delegation.
+    /// Identifier of the delegation.
     pub key: DelegationKey,
-    /// How it ended.
+    /// Outputs or reason of failure.
     pub outcome: DelegationOutcome,
 }
 
 /// How a delegation ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum DelegationOutcome {
-    /// The outputs of all its tasks.
+    /// The outputs of all delegated tasks.
     Complete(Vec<TaskOutput>),
-    /// There are none.
+    /// The whole job failed.
     Failed(Failure),
-    /// The scheduler did not take it and never will: delegate it again.
+    /// The scheduler did not and will not run the job; it must be delegated
+    /// again.
     SentBack,
 }
 
 /// Output of one task.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskOutput {
-    /// Index in the submission.
+    /// Index of the task within the submission.
     pub index: TaskIndex,
-    /// Output.
+    /// Opaque output of the back end.
     pub output: Payload,
 }
--- a/laurelstile-core/src/payload.rs
+++ b/laurelstile-core/src/payload.rs
@@ -1,21 +1,21 @@
-//! Opaque bytes of a task's input or output, cheap to clone.
+//! Opaque input or output of a task; cheap to clone.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Input or output of a task; never looked into.
+/// Opaque input or output of a task.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Payload(Arc<[u8]>);
 
 impl Payload {
-    /// The bytes.
+    /// The raw bytes.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Number of bytes.
+    /// Size in bytes.
     pub fn size(&self) -> usize {
         self.0.len()
     }
--- a/laurelstile-core/src/rendezvous.rs
+++ b/laurelstile-core/src/rendezvous.rs
@@ -1,17 +1,16 @@
-//! Rendezvous hashing: names the gateway that schedules a pool without an
-//! election. Every gateway that sees the same live set names the same one;
-//! where views differ the agents, who own the slots, keep starts safe.
+//! Rendezvous hashing: selects the gateway that schedules a pool without an
+//! election. Gateways with the same set of live peers select the same one. If
+//! their views differ, starts are still safe because the agents own the slots.
 //!
-//! The idea of routing without a master is that of the paper's section on
-//! embedded weighted rendezvous routing; docs/decisions/0001 has our own
-//! measurement of one scheduler per pool.
+//! Based on the section on embedded weighted rendezvous routing of the paper.
+//! For the use of one scheduler per pool see docs/decisions/0001.
 
 use laurelstile_types::id::{GatewayName, PoolName};
 use twox_hash::XxHash64;
 
 const SEED: u64 = 0x6c61_7572_656c;
 
-/// The gateway with the highest score for `pool`, or `None` of none.
+/// The gateway with the highest score for `pool`; `None` if `live` is empty.
 pub fn scheduler_of<'a>(
     pool: &PoolName,
     live: impl Iterator<Item = &'a GatewayName>,
--- a/laurelstile-core/tests/agent.rs
+++ b/laurelstile-core/tests/agent.rs
@@ -1,4 +1,5 @@
-//! The agent's machine: what it starts, and what it refuses and remembers.
+//! Tests of the agent's state machine: starts, refusals, retained outputs and
+//! fences.
 
 use std::sync::Arc;
 
@@ -84,7 +85,7 @@
         self.handle(AgentEvent::Finished { dispatch, end });
     }
 
-    /// The dispatches run since the last look.
+    /// Task indexes of the runs requested since the effects were last cleared.
     fn started_tasks(&mut self) -> Vec<u32> {
         let runs = self.effects.iter().filter_map(|effect| match effect {
             AgentEffect::Run { dispatch, .. } => Some(dispatch.task),
@@ -93,7 +94,7 @@
         runs.collect()
     }
 
-    /// The refusals sent since the last look.
+    /// Refusals sent since the effects were last cleared.
     fn refusals(&mut self) -> Vec<NotStartedReason> {
         let mut reasons = Vec::new();
         for effect in &self.effects {
@@ -106,7 +107,7 @@
         reasons
     }
 
-    /// The sessions that got a result since the last look.
+    /// Sessions that were sent results since the effects were last cleared.
     fn result_sessions(&mut self) -> Vec<SessionId> {
         let sessions = self.effects.iter().filter_map(|effect| match effect {
             AgentEffect::Send { session, message } => {
@@ -117,7 +118,7 @@
         sessions.collect()
     }
 
-    /// What the agent said it had started, at the last recovery.
+    /// Started tasks that the agent reported in `Recovered` messages.
     fn recovered(&mut self) -> Vec<(u32, DispatchStatus)> {
         let mut tasks = Vec::new();
         for effect in &self.effects {
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -1,6 +1,7 @@
-//! The agent's machine under random sequences of events, two gateways, cuts
-//! and recoveries among them: no task runs twice, slots are never exceeded,
-//! fences and drains are kept. The cases are the same in every run.
+//! Property tests of the agent's state machine: with random events of two
+//! gateways, including disconnects and recoveries, no task runs twice, slots
+//! are never exceeded, and fences and drains hold. The random generator has a
+//! fixed seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,8 +21,8 @@
 const CASES: u32 = 400;
 const STEPS: std::ops::Range<usize> = 1..120;
 
-/// One step of a sequence; gateways, submissions and tasks are few, so that
-/// steps meet.
+/// One step of a sequence. Gateways, submissions and tasks are few, so that
+/// steps interact.
 #[derive(Clone, Debug)]
 enum Step {
     Open {
@@ -78,7 +79,7 @@
     ]
 }
 
-/// The agent beside what must be true of it.
+/// The agent together with the expected state.
 struct Model {
     agent: Agent,
     now: Timestamp,
@@ -192,7 +193,7 @@
         let end = if reached {
             RunEnd::Ended(TaskOutcome::Output(Payload::from(vec![1])))
         } else {
-            // Proof that it did not start: it may start again.
+            // The task did not start, so it may start again.
             self.started.remove(&(dispatch.submission, dispatch.task));
             RunEnd::NotStarted
         };
@@ -273,6 +274,6 @@
             Ok(())
         })
         .expect("every sequence keeps the promises");
-    // The sequences do start tasks.
+    // Guards against sequences that start no tasks.
     assert!(runs.load(std::sync::atomic::Ordering::Relaxed) > CASES as usize);
 }
--- a/laurelstile-core/tests/gateway.rs
+++ b/laurelstile-core/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! The gateway's machine as entry and scheduler of its own pool: admission,
-//! order, quotas, deadlines, answers.
+//! Tests of the gateway's state machine as entry and scheduler of its own
+//! pool: admission, queue order, quotas, deadlines and answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -134,7 +134,7 @@
         self.report(FromAgentBody::NotStarted(vec![refusal]));
     }
 
-    /// Submissions of the tasks that run, in the order of their starts.
+    /// Submissions of the running tasks, in order of their starts.
     fn running_jobs(&self) -> Vec<u64> {
         let running = self.running.iter();
         running
@@ -383,7 +383,7 @@
     assert_eq!(harness.failure(2), taken);
     let unavailable = Some((RunState::NotRun, Reason::ClaimUnavailable));
     assert_eq!(harness.failure(3), unavailable);
-    // The write may have taken effect all the same.
+    // An unavailable table may still have written the claim.
     assert_eq!(harness.released_claims, 1);
 }
 
