--- a/laurelstile-core/tests/agent.rs
+++ b/laurelstile-core/tests/agent.rs
@@ -99,9 +99,9 @@
         let mut reasons = Vec::new();
         for effect in &self.effects {
             if let AgentEffect::Send { message, .. } = effect
-                && let FromAgentBody::NotStarted(refused) = &message.body
+                && let FromAgentBody::NotStarted(refusals) = &message.body
             {
-                reasons.extend(refused.iter().map(|refusal| refusal.reason));
+                reasons.extend(refusals.iter().map(|refusal| refusal.reason));
             }
         }
         reasons
@@ -140,7 +140,7 @@
             max_queued_tasks: 10,
             backends: vec![Backend {
                 name: "w1".into(),
-                agent: "127.0.0.1:1".parse().expect("an address"),
+                agent: "127.0.0.1:1".parse().expect("valid socket address"),
                 zone: "a".into(),
                 rack: "r".into(),
                 slots: SLOTS,
@@ -154,7 +154,7 @@
         None => first,
         Some(name) => Revision::following(first.as_ref(), "b".into(), Change::Drain(name.into())),
     };
-    Arc::new(revision.expect("the change is possible"))
+    Arc::new(revision.expect("the change is valid"))
 }
 
 fn submission() -> SubmissionId {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn it_starts_what_fits_and_offers_a_freed_slot_to_who_waits() {
+fn excess_starts_are_refused_and_a_freed_slot_is_offered_to_the_waiting_gateway() {
     let mut harness = Harness::new();
     for task in 0..3 {
         harness.start(SESSION, task, 1);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_fence_refuses_the_lost_scheduler_and_redirects_its_results() {
+fn a_fence_refuses_starts_of_the_lost_scheduler_and_redirects_its_results() {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
     harness.send(ENTRY_SESSION, recover(2));
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn an_output_is_kept_until_it_is_released() {
+fn an_output_is_retained_until_it_is_released() {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
     harness.finish(0, output());
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn memory_of_released_submissions_is_freed() {
+fn records_of_released_submissions_are_removed() {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
     harness.finish(0, output());
@@ -287,9 +287,9 @@
 }
 
 #[rstest]
-#[case::sender_not_heard_for_long(5_000, 9, 10, NotStartedReason::StaleSender)]
-#[case::sender_behind(0, 0, 10, NotStartedReason::StaleRevision)]
-#[case::delegated_before_it_joined(0, 9, 30_000, NotStartedReason::OlderThanAgent)]
+#[case::stale_echo(5_000, 9, 10, NotStartedReason::StaleSender)]
+#[case::stale_revision(0, 0, 10, NotStartedReason::StaleRevision)]
+#[case::delegated_before_membership(0, 9, 30_000, NotStartedReason::OlderThanAgent)]
 fn a_stale_start_is_refused(
     #[case] echo_millis_ago: u64,
     #[case] revision: u64,
@@ -313,10 +313,10 @@
 #[rstest]
 #[case::drained(ToAgentBody::Revision(revision(Some("w1"))))]
 #[case::leaving(ToAgentBody::Leaving)]
-fn a_leaving_agent_finishes_but_starts_nothing(#[case] order: ToAgentBody) {
+fn a_draining_agent_finishes_running_tasks_but_starts_none(#[case] body: ToAgentBody) {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
-    harness.send(ENTRY_SESSION, order);
+    harness.send(ENTRY_SESSION, body);
     harness.start(SESSION, 1, 1);
     assert_eq!(harness.started_tasks(), [0]);
     assert_eq!(harness.refusals(), [NotStartedReason::Draining]);
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn a_planned_stop_waits_for_runs_and_for_outputs_to_be_released() {
+fn a_graceful_shutdown_waits_for_running_tasks_and_unreleased_outputs() {
     let mut harness = Harness::new();
     let is_stopped = |harness: &Harness| {
         let effects = harness.effects.iter();
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_back_end_that_refuses_connections_gets_a_pause() {
+fn starts_are_refused_for_a_while_after_the_back_end_refused_a_connection() {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
     harness.finish(0, RunEnd::NotStarted);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_new_session_fences_the_old_one() {
+fn a_new_session_replaces_the_old_one() {
     let mut harness = Harness::new();
     let session = SessionId(3);
     harness.handle(AgentEvent::Opened {
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -80,7 +80,7 @@
 }
 
 /// The agent together with the expected state.
-struct Model {
+struct AgentModel {
     agent: Agent,
     now: Timestamp,
     sessions: BTreeMap<u64, SessionId>,
@@ -91,7 +91,7 @@
     drained: bool,
 }
 
-impl Model {
+impl AgentModel {
     fn new() -> Self {
         Self {
             agent: Agent::new("w1".into()),
@@ -225,20 +225,23 @@
                 _ => {}
             }
         }
-        let running = u32::try_from(self.running.len()).expect("few tasks");
+        let running = u32::try_from(self.running.len()).expect("task count fits in u32");
         prop_assert_eq!(self.agent.running(), running);
         Ok(())
     }
 
     fn check_run(&mut self, dispatch: DispatchId) -> Result<(), TestCaseError> {
         let task = (dispatch.submission, dispatch.task);
-        prop_assert!(self.started.insert(task), "{dispatch} runs twice");
+        prop_assert!(self.started.insert(task), "{dispatch} was started twice");
         let fence = self.fences.get(&dispatch.submission).copied().unwrap_or(0);
-        prop_assert!(dispatch.delegation >= fence, "{dispatch} is fenced");
-        prop_assert!(!self.drained, "{dispatch} runs on a drained agent");
+        prop_assert!(
+            dispatch.delegation >= fence,
+            "{dispatch} was started under a fenced delegation"
+        );
+        prop_assert!(!self.drained, "{dispatch} was started on a draining agent");
         prop_assert!(
             self.running.len() < SLOTS as usize,
-            "no slot for {dispatch}"
+            "{dispatch} was started without a free slot"
         );
         self.running.push(dispatch);
         Ok(())
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn random_sequences_keep_the_agents_promises() {
+fn random_event_sequences_preserve_the_invariants() {
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -261,19 +264,19 @@
     };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let runs = Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let counted = Arc::clone(&runs);
+    let started_total = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let counter = Arc::clone(&started_total);
     runner
         .run(&prop::collection::vec(step(), STEPS), |steps| {
-            let mut model = Model::new();
+            let mut model = AgentModel::new();
             for step in steps {
                 model.apply(step)?;
             }
             let started = model.started.len();
-            counted.fetch_add(started, std::sync::atomic::Ordering::Relaxed);
+            counter.fetch_add(started, std::sync::atomic::Ordering::Relaxed);
             Ok(())
         })
-        .expect("every sequence keeps the promises");
+        .expect("every sequence preserves the invariants");
     // Guards against sequences that start no tasks.
-    assert!(runs.load(std::sync::atomic::Ordering::Relaxed) > CASES as usize);
+    assert!(started_total.load(std::sync::atomic::Ordering::Relaxed) > CASES as usize);
 }
--- a/laurelstile-core/tests/gateway.rs
+++ b/laurelstile-core/tests/gateway.rs
@@ -93,7 +93,7 @@
     }
 
     fn report(&mut self, body: FromAgentBody) {
-        let running = u32::try_from(self.running.len()).expect("few tasks");
+        let running = u32::try_from(self.running.len()).expect("task count fits in u32");
         let message = FromAgent {
             report: SlotReport {
                 clock: self.now,
@@ -165,7 +165,7 @@
 fn revision_of(backends: &[&str], number: u64) -> Arc<Revision> {
     let backend = |name: &&str| Backend {
         name: (*name).into(),
-        agent: "127.0.0.1:1".parse().expect("an address"),
+        agent: "127.0.0.1:1".parse().expect("valid socket address"),
         zone: "a".into(),
         rack: "r".into(),
         slots: SLOTS,
@@ -202,7 +202,8 @@
         ],
     };
     let change = Change::Apply(configuration);
-    let mut revision = Revision::following(None, "a".into(), change).expect("it applies");
+    let mut revision =
+        Revision::following(None, "a".into(), change).expect("the configuration is valid");
     revision.number = number;
     Arc::new(revision)
 }
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_job_is_answered_once_and_whole() {
+fn a_job_is_answered_once_with_all_outputs() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 6));
     assert_eq!(harness.running.len(), 4);
@@ -231,7 +232,10 @@
         assert!(harness.answers.is_empty());
         harness.end_task(0, output());
     }
-    let outputs = harness.answers[&1].outcome.as_ref().expect("it is whole");
+    let outputs = harness.answers[&1]
+        .outcome
+        .as_ref()
+        .expect("the job completes");
     assert_eq!(outputs.len(), 6);
 }
 
@@ -256,7 +260,7 @@
     |job: &mut JobRequest| job.deadline = Some(Span::from_millis(50)),
     Reason::DeadlineUnreachable
 )]
-fn a_job_that_cannot_be_run_is_refused_at_once(
+fn an_invalid_or_infeasible_job_is_refused_immediately(
     #[case] invalidate: fn(&mut JobRequest),
     #[case] reason: Reason,
 ) {
@@ -269,19 +273,19 @@
 }
 
 #[test]
-fn a_deadline_is_judged_by_the_slots_in_service() {
+fn deadline_admission_counts_only_slots_in_service() {
     let mut harness = Harness::new();
     harness.handle(GatewayEvent::Tick);
-    let in_time = |number| JobRequest {
+    let with_deadline = |number| JobRequest {
         deadline: Some(Span::from_millis(400)),
         ..job("one", number)
     };
-    harness.submit(1, in_time(12));
+    harness.submit(1, with_deadline(12));
     assert_eq!(harness.failure(1), None);
     // The second agent, with four of the eight slots, has no session.
     harness.handle(GatewayEvent::Revision(revision_of(&["w1", "w2"], 2)));
     harness.handle(GatewayEvent::Tick);
-    harness.submit(2, in_time(12));
+    harness.submit(2, with_deadline(12));
     let unreachable = Some((RunState::NotRun, Reason::DeadlineUnreachable));
     assert_eq!(harness.failure(2), unreachable);
 }
@@ -296,7 +300,7 @@
 }
 
 #[test]
-fn a_heavier_tenant_goes_first() {
+fn a_tenant_with_a_higher_weight_goes_first() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 20));
     harness.submit(2, job("two", 30));
@@ -305,7 +309,7 @@
 }
 
 #[test]
-fn what_waits_long_goes_before_what_is_shorter() {
+fn ageing_puts_a_long_waiting_job_before_a_shorter_one() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 8));
     harness.advance(Span::from_secs(8));
@@ -315,7 +319,7 @@
 }
 
 #[test]
-fn a_quota_is_never_exceeded_and_leaves_slots_to_others() {
+fn a_tenant_quota_is_not_exceeded_and_leaves_slots_to_others() {
     let mut harness = Harness::new();
     harness.submit(1, job("few", 5));
     harness.submit(2, job("one", 5));
@@ -325,7 +329,7 @@
 }
 
 #[test]
-fn a_refused_start_is_tried_again() {
+fn a_refused_start_is_retried() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 1));
     harness.refuse(0, NotStartedReason::BackendUnreachable);
@@ -335,7 +339,7 @@
 }
 
 #[test]
-fn a_failed_task_fails_its_job_at_once_and_stops_the_siblings() {
+fn a_failed_task_fails_its_job_and_cancels_the_other_tasks() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 8));
     harness.end_task(0, TaskOutcome::Failed);
@@ -345,7 +349,7 @@
 }
 
 #[test]
-fn past_its_deadline_a_job_that_never_started_is_not_run() {
+fn a_job_past_its_deadline_is_reported_as_not_run_only_if_it_never_started() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 4));
     harness.submit(2, job("one", 4));
@@ -356,7 +360,7 @@
 }
 
 #[test]
-fn nothing_unrepeatable_starts_without_its_claim() {
+fn a_non_repeatable_task_starts_only_with_its_claim() {
     let mut harness = Harness::new();
     let once = |key: &str| JobRequest {
         class: "once".into(),
@@ -388,7 +392,7 @@
 }
 
 #[test]
-fn a_claim_that_comes_too_late_is_given_back() {
+fn a_claim_granted_after_the_answer_is_released() {
     let mut harness = Harness::new();
     let once = JobRequest {
         class: "once".into(),
@@ -408,7 +412,7 @@
 }
 
 #[test]
-fn a_lost_agent_fails_what_it_may_have_run() {
+fn the_loss_of_an_agent_fails_jobs_that_it_may_have_run() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 4));
     harness.submit(2, job("one", 4));
@@ -427,7 +431,7 @@
 }
 
 #[test]
-fn a_stopping_gateway_refuses_new_jobs_and_finishes_the_others() {
+fn a_stopping_gateway_refuses_new_jobs_and_finishes_accepted_ones() {
     let mut harness = Harness::new();
     harness.submit(1, job("one", 1));
     harness.handle(GatewayEvent::Stop);
