--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -69,7 +69,7 @@
         message: FromAgent,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let Some(index) = self.links.of_session(session) else {
+        let Some(index) = self.links.find_by_session(session) else {
             return;
         };
         let link = self.links.get_mut(index);
@@ -149,7 +149,9 @@
         }
         for pool in &configuration.pools {
             for backend in &pool.backends {
-                let index = self.links.ensure(&backend.name, &pool.name, &backend.zone);
+                let index = self
+                    .links
+                    .find_or_insert(&backend.name, &pool.name, &backend.zone);
                 let is_leaving = self.leaving.contains(&backend.name);
                 let link = self.links.get_mut(index);
                 link.listed_leaving |= is_leaving;
@@ -185,14 +187,14 @@
         };
         let number = revision.number;
         let revision = Arc::clone(revision);
-        let gets_whole_revision = self.links.gets_whole_revisions(index);
+        let receives_full_revisions = self.links.receives_full_revisions(index);
         let link = self.links.get_mut(index);
         let known = link.report.revision.max(link.pushed_revision);
         if link.session.is_none() || known >= number {
             return;
         }
         link.pushed_revision = number;
-        let body = if gets_whole_revision {
+        let body = if receives_full_revisions {
             ToAgentBody::Revision(revision)
         } else {
             ToAgentBody::Membership(Membership::of(&revision, &link.name))
--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -96,14 +96,14 @@
             pool: service.pool.clone(),
             tenant: request.tenant.clone(),
             class: request.class.clone(),
-            accepted: now,
+            accepted_at: now,
             deadline: now.after(deadline),
             inputs: request.inputs.clone(),
             outputs: vec![None; request.inputs.len()],
             delegation: 0,
             phase: Phase::Claiming,
-            running_at: std::collections::BTreeMap::new(),
-            fenced_at: std::collections::BTreeSet::new(),
+            running_on: std::collections::BTreeMap::new(),
+            fenced_on: std::collections::BTreeSet::new(),
             starts_unknown: false,
             claim,
         })
@@ -220,7 +220,7 @@
         let key = delegation.key;
         let origin = Origin {
             entry: self.identity.incarnation,
-            delegated: None,
+            delegated_at: None,
         };
         if let Err(failure) = self.accept_delegation(now, origin, delegation) {
             let end = DelegationEnd {
@@ -297,7 +297,7 @@
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
-        if submission.running_at.remove(&dispatch.task).is_none() {
+        if submission.running_on.remove(&dispatch.task).is_none() {
             return;
         }
         match outcome {
@@ -369,7 +369,7 @@
             service: submission.service,
             tenant: submission.tenant,
             class: submission.class,
-            elapsed: now.since(submission.accepted),
+            elapsed: now.since(submission.accepted_at),
             outcome,
         })));
     }
@@ -397,7 +397,7 @@
             }
             Phase::Claiming | Phase::Recovering(_) | Phase::Collecting => {}
         }
-        for link in submission.running_at.values() {
+        for link in submission.running_on.values() {
             self.links
                 .get_mut(*link)
                 .pending_cancels
@@ -407,7 +407,7 @@
 
     /// Lets the agents that hold a fence for a submission discard its outputs.
     fn queue_fence_releases(&mut self, submission: &Submission) {
-        for link in &submission.fenced_at {
+        for link in &submission.fenced_on {
             self.links
                 .get_mut(*link)
                 .pending_releases
--- a/laurelstile-core/src/gateway/job.rs
+++ b/laurelstile-core/src/gateway/job.rs
@@ -34,7 +34,7 @@
     pub(super) arrival: Timestamp,
     /// Lower bound of the time of the delegation; `None` for a local job,
     /// which no other gateway can recover.
-    pub(super) delegated: Option<Timestamp>,
+    pub(super) delegated_at: Option<Timestamp>,
     pub(super) deadline: Timestamp,
     pub(super) mean_run_time: Span,
     pub(super) waiting: VecDeque<DelegatedTask>,
@@ -56,8 +56,8 @@
 
     /// Upper bound of the time since the delegation; zero for a local job.
     pub(super) fn age(&self, now: Timestamp) -> Span {
-        self.delegated
-            .map_or(Span::default(), |delegated| now.since(delegated))
+        self.delegated_at
+            .map_or(Span::default(), |delegated_at| now.since(delegated_at))
     }
 
     pub(super) fn remaining(&self) -> Span {
--- a/laurelstile-core/src/gateway/links.rs
+++ b/laurelstile-core/src/gateway/links.rs
@@ -21,7 +21,7 @@
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_secs(8);
 /// Minimum number of agents that receive full revisions, if there are that
 /// many.
-const MIN_REVISION_HOLDERS: usize = 8;
+const MIN_FULL_REVISION_AGENTS: usize = 8;
 /// Minimum interval between two probes of an agent.
 const MIN_PROBE_INTERVAL: Span = Span::from_secs(1);
 /// A session that has received no message for this long is closed.
@@ -57,7 +57,7 @@
     pub session: Option<SessionId>,
     pub incarnation: Option<Incarnation>,
     /// When that incarnation started, on this gateway's clock.
-    pub incarnation_started: Timestamp,
+    pub incarnation_started_at: Timestamp,
     /// The latest report in this session.
     pub report: SlotReport,
     /// Whether the machine list marks the machine as leaving.
@@ -171,7 +171,12 @@
     }
 
     /// Returns the link of a back end and creates it if needed.
-    pub fn ensure(&mut self, name: &BackendName, pool: &PoolName, zone: &ZoneName) -> LinkIndex {
+    pub fn find_or_insert(
+        &mut self,
+        name: &BackendName,
+        pool: &PoolName,
+        zone: &ZoneName,
+    ) -> LinkIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
         }
@@ -184,7 +189,7 @@
             slots: 0,
             session: None,
             incarnation: None,
-            incarnation_started: Timestamp::default(),
+            incarnation_started_at: Timestamp::default(),
             report: SlotReport::default(),
             listed_leaving: false,
             listed_gone_since: None,
@@ -209,7 +214,7 @@
         self.by_name.get(name).copied()
     }
 
-    pub fn of_session(&self, session: SessionId) -> Option<LinkIndex> {
+    pub fn find_by_session(&self, session: SessionId) -> Option<LinkIndex> {
         self.by_session.get(&session).copied()
     }
 
@@ -223,10 +228,11 @@
     }
 
     /// Whether an agent receives full revisions, which it can pass on to
-    /// gateways that cannot read the table. At least [`MIN_REVISION_HOLDERS`]
-    /// agents do, spread evenly over the configuration.
-    pub fn gets_whole_revisions(&self, index: LinkIndex) -> bool {
-        let stride = (self.links.len() / MIN_REVISION_HOLDERS).max(1);
+    /// gateways that cannot read the table. At least
+    /// [`MIN_FULL_REVISION_AGENTS`] agents do, spread evenly over the
+    /// configuration.
+    pub fn receives_full_revisions(&self, index: LinkIndex) -> bool {
+        let stride = (self.links.len() / MIN_FULL_REVISION_AGENTS).max(1);
         index.0.is_multiple_of(stride)
     }
 
@@ -284,23 +290,23 @@
     }
 
     /// Whether at least one agent of `pool` has reported and every agent that
-    /// has reported joined the pool after `delegated`, a time on this gateway's
-    /// clock.
-    pub fn all_joined_after(&self, pool: &PoolName, delegated: Timestamp) -> bool {
-        let mut any = false;
+    /// has reported joined the pool after `delegated_at`, a time on this
+    /// gateway's clock.
+    pub fn all_joined_after(&self, pool: &PoolName, delegated_at: Timestamp) -> bool {
+        let mut has_report = false;
         for link in self.links.iter().filter(|link| link.pool == *pool) {
             if link.session.is_none() || link.report.clock == Timestamp::default() {
                 continue;
             }
-            any = true;
+            has_report = true;
             // Converts the agent's joining time to this gateway's clock.
-            let member_for = link.report.clock.since(link.report.member_since);
-            let joined = Timestamp(link.last_heard.since(Timestamp(member_for.0)).0);
-            if joined <= delegated {
+            let membership_age = link.report.clock.since(link.report.member_since);
+            let joined = Timestamp(link.last_heard.since(Timestamp(membership_age.0)).0);
+            if joined <= delegated_at {
                 return false;
             }
         }
-        any
+        has_report
     }
 
     /// Records a new session and returns the one that it replaces.
@@ -315,7 +321,7 @@
         let old = link.session.replace(session);
         if link.incarnation != Some(remote.incarnation) {
             link.incarnation = Some(remote.incarnation);
-            link.incarnation_started = Timestamp(now.since(Timestamp(remote.uptime.0)).0);
+            link.incarnation_started_at = Timestamp(now.since(Timestamp(remote.uptime.0)).0);
             // Requests for the previous incarnation no longer apply.
             link.pending_releases.clear();
             link.pending_cancels.clear();
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -62,7 +62,7 @@
         message: ToPeer,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let Some(name) = self.peers.of_session(session) else {
+        let Some(name) = self.peers.find_by_session(session) else {
             return;
         };
         let Some(peer) = self.peers.get_mut(&name) else {
@@ -83,7 +83,7 @@
             ToPeerBody::Delegate(delegation) => {
                 let origin = Origin {
                     entry: incarnation,
-                    delegated: Some(message.echo),
+                    delegated_at: Some(message.echo),
                 };
                 // An entry gateway with an older revision may not know every
                 // agent that can receive tasks. It has just been sent the
@@ -102,7 +102,7 @@
             ToPeerBody::Outstanding(keys) => {
                 self.on_outstanding(now, &name, incarnation, keys, effects);
             }
-            ToPeerBody::NotHere(keys) => {
+            ToPeerBody::UnknownDelegations(keys) => {
                 for key in keys {
                     self.recover_outstanding(now, &name, key, effects);
                 }
@@ -203,7 +203,7 @@
             .filter(|key| !self.scheduler.contains(*key))
             .collect();
         if !unknown.is_empty() {
-            self.send_to_peer(now, name, ToPeerBody::NotHere(unknown), effects);
+            self.send_to_peer(now, name, ToPeerBody::UnknownDelegations(unknown), effects);
         }
     }
 
@@ -257,7 +257,7 @@
                     let submission = end.end.key.submission;
                     self.on_delegation_end(now, end.end, effects);
                     self.scheduler.acknowledge(submission, &mut self.links);
-                } else if let Some(name) = self.peers.of_incarnation(end.entry) {
+                } else if let Some(name) = self.peers.find_by_incarnation(end.entry) {
                     let body = ToPeerBody::Done(Box::new(end.end));
                     self.send_to_peer(now, &name, body, effects);
                 }
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -125,14 +125,14 @@
         }
     }
 
-    pub fn of_session(&self, session: SessionId) -> Option<GatewayName> {
+    pub fn find_by_session(&self, session: SessionId) -> Option<GatewayName> {
         self.by_name
             .iter()
             .find(|(_, peer)| peer.session == Some(session))
             .map(|(name, _)| name.clone())
     }
 
-    pub fn of_incarnation(&self, incarnation: Incarnation) -> Option<GatewayName> {
+    pub fn find_by_incarnation(&self, incarnation: Incarnation) -> Option<GatewayName> {
         self.by_name
             .iter()
             .find(|(_, peer)| peer.incarnation == incarnation)
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -55,7 +55,7 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let number = recovered.fence.submission.number;
-        let started = self.links.get(index).incarnation_started;
+        let started = self.links.get(index).incarnation_started_at;
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
@@ -63,15 +63,15 @@
         if !is_current {
             return;
         }
-        submission.fenced_at.insert(index);
+        submission.fenced_on.insert(index);
         // An incarnation younger than the submission does not know what its
         // predecessor started.
-        submission.starts_unknown |= started > submission.accepted;
+        submission.starts_unknown |= started > submission.accepted_at;
         let mut failed = None;
         for (task, status) in recovered.tasks {
             match status {
                 DispatchStatus::Running => {
-                    submission.running_at.insert(task, index);
+                    submission.running_on.insert(task, index);
                 }
                 DispatchStatus::Finished {
                     outcome: TaskOutcome::Output(output),
@@ -157,7 +157,7 @@
                 continue;
             };
             submission.starts_unknown = true;
-            if submission.running_at.values().any(|at| *at == index) {
+            if submission.running_on.values().any(|at| *at == index) {
                 let failure = Failure::may_have_run(Reason::WorkerLost);
                 self.answer(now, number, Err(failure), effects);
                 continue;
@@ -174,7 +174,7 @@
 fn may_have_tasks(link: &Link, submission: &Submission) -> bool {
     let gone_before = link
         .listed_gone_since
-        .is_some_and(|since| since < submission.accepted);
+        .is_some_and(|since| since < submission.accepted_at);
     link.pool == submission.pool && !(gone_before && link.session.is_none())
 }
 
@@ -183,5 +183,5 @@
         Phase::Recovering(awaited) => awaited.contains(&index),
         _ => false,
     };
-    awaited || submission.running_at.values().any(|at| *at == index)
+    awaited || submission.running_on.values().any(|at| *at == index)
 }
--- a/laurelstile-core/src/gateway/scheduler/delegations.rs
+++ b/laurelstile-core/src/gateway/scheduler/delegations.rs
@@ -30,8 +30,8 @@
         let stale: Vec<SubmissionId> = self
             .jobs
             .values()
-            .filter(|job| job.contacted.is_empty() && job.delegated.is_some())
-            .filter(|job| links.all_joined_after(&job.pool, job.delegated.unwrap_or_default()))
+            .filter(|job| job.contacted.is_empty() && job.delegated_at.is_some())
+            .filter(|job| links.all_joined_after(&job.pool, job.delegated_at.unwrap_or_default()))
             .filter(|job| now.since(job.arrival) > SEND_BACK_DELAY)
             .map(|job| job.key.submission)
             .collect();
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -29,7 +29,7 @@
     pub entry: Incarnation,
     /// Lower bound of the time of the delegation, on this gateway's clock;
     /// `None` for a local job.
-    pub delegated: Option<Timestamp>,
+    pub delegated_at: Option<Timestamp>,
 }
 
 /// A job whose end the entry gateway has not acknowledged.
@@ -151,7 +151,7 @@
             tenant: delegation.tenant,
             weight,
             arrival: now,
-            delegated: origin.delegated,
+            delegated_at: origin.delegated_at,
             deadline: now.after(delegation.time_left),
             mean_run_time,
             task_count: delegation.tasks.len(),
@@ -200,13 +200,14 @@
             return refuse(Reason::TenantOverQuota);
         }
         let rank = queue.rank(job.rank_input());
-        let before = queue.backlog_before(rank, |submission| {
+        let wait = queue.backlog_before(rank, |submission| {
             self.jobs
                 .get(&submission)
                 .map_or(Span::default(), Job::remaining)
         });
-        let own = Span(job.remaining().0 / u64::from(queue.slots())).max(job.mean_run_time);
-        if before.0 + own.0 > time_left.0 {
+        let own_run_time =
+            Span(job.remaining().0 / u64::from(queue.slots())).max(job.mean_run_time);
+        if wait.0 + own_run_time.0 > time_left.0 {
             return refuse(Reason::DeadlineUnreachable);
         }
         Ok(())
--- a/laurelstile-core/src/gateway/submission.rs
+++ b/laurelstile-core/src/gateway/submission.rs
@@ -74,7 +74,7 @@
     pub pool: PoolName,
     pub tenant: TenantName,
     pub class: ClassName,
-    pub accepted: Timestamp,
+    pub accepted_at: Timestamp,
     pub deadline: Timestamp,
     pub inputs: Vec<Payload>,
     /// Output of each task; `None` until it has ended.
@@ -84,9 +84,9 @@
     pub phase: Phase,
     /// Recovered tasks that are still running, with the agent that reports
     /// them here directly.
-    pub running_at: BTreeMap<TaskIndex, LinkIndex>,
+    pub running_on: BTreeMap<TaskIndex, LinkIndex>,
     /// Agents that hold a fence for the submission.
-    pub fenced_at: BTreeSet<LinkIndex>,
+    pub fenced_on: BTreeSet<LinkIndex>,
     /// Whether an agent that may have started tasks of it no longer knows.
     pub starts_unknown: bool,
     /// The claim; `None` for a repeatable class or if another submission holds
@@ -106,7 +106,7 @@
     pub fn missing_tasks(&self) -> Vec<DelegatedTask> {
         let mut missing = Vec::new();
         for (index, output) in (0..).zip(&self.outputs) {
-            if output.is_none() && !self.running_at.contains_key(&index) {
+            if output.is_none() && !self.running_on.contains_key(&index) {
                 missing.push(DelegatedTask {
                     index,
                     input: self.inputs[index as usize].clone(),
@@ -123,12 +123,12 @@
     /// Whether tasks are known to have started, or may have without a record.
     pub fn has_run(&self) -> bool {
         self.starts_unknown
-            || !self.running_at.is_empty()
+            || !self.running_on.is_empty()
             || self.outputs.iter().any(Option::is_some)
     }
 
     pub fn set_output(&mut self, index: TaskIndex, output: Payload) {
-        self.running_at.remove(&index);
+        self.running_on.remove(&index);
         if let Some(output_slot) = self.outputs.get_mut(index as usize) {
             *output_slot = Some(output);
         }
--- a/laurelstile-core/src/messages/kinds.rs
+++ b/laurelstile-core/src/messages/kinds.rs
@@ -41,7 +41,7 @@
             ToPeerBody::Done(_) => "done",
             ToPeerBody::Withdraw(_) => "withdraw",
             ToPeerBody::Outstanding(_) => "outstanding",
-            ToPeerBody::NotHere(_) => "not_here",
+            ToPeerBody::UnknownDelegations(_) => "not_here",
             ToPeerBody::Revision(_) => "revision",
             ToPeerBody::Leaving(_) => "leaving",
         }
--- a/laurelstile-core/src/messages/peer.rs
+++ b/laurelstile-core/src/messages/peer.rs
@@ -47,7 +47,8 @@
     /// outstanding at the receiver.
     Outstanding(Vec<DelegationKey>),
     /// The delegations in `Outstanding` that are unknown to the sender.
-    NotHere(Vec<DelegationKey>),
+    #[serde(rename = "NotHere")]
+    UnknownDelegations(Vec<DelegationKey>),
     /// A revision newer than the receiver's.
     Revision(Arc<Revision>),
     /// Back ends marked as leaving in the machine list as read by the sender.
