--- a/laurelstile-core/src/agent/mod.rs
+++ b/laurelstile-core/src/agent/mod.rs
@@ -115,7 +115,7 @@
     Stopped,
 }
 
-/// Per-session state of a gateway.
+/// State of a session with a gateway.
 #[derive(Debug)]
 struct Link {
     gateway: Incarnation,
--- a/laurelstile-core/src/agent/record.rs
+++ b/laurelstile-core/src/agent/record.rs
@@ -48,7 +48,8 @@
 struct Record {
     /// Minimum delegation number that may start tasks; 0 if never fenced.
     fence: DelegationNumber,
-    /// Whether the submission was released; no more of its tasks may start.
+    /// Whether the submission was released after it had been fenced; none of its
+    /// tasks may start any more.
     closed: bool,
     /// Whether to remove the record once none of its tasks is running.
     released: bool,
--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Sends the revision in force to an agent with an older one, at most once
-    /// per session.
+    /// Sends the revision in force to an agent with an older one, each revision at
+    /// most once per session.
     fn push_revision_to(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -324,8 +324,8 @@
         }
     }
 
-    /// Sends the revision in force to a peer with an older one, at most once
-    /// per session.
+    /// Sends the revision in force to a peer with an older one, each revision at
+    /// most once per session.
     fn push_revision_to_peer(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/gateway/queue.rs
+++ b/laurelstile-core/src/gateway/queue.rs
@@ -7,8 +7,8 @@
 use laurelstile_types::id::{SubmissionId, TenantName};
 use laurelstile_types::time::{Span, Timestamp};
 
-/// Ageing rate: a microsecond of waiting counts as this many thousandths of a
-/// microsecond of work. See docs/decisions/0002.
+/// Ageing rate: each microsecond of waiting offsets this many thousandths of a
+/// microsecond of remaining work per slot and weight. See docs/decisions/0002.
 const AGEING_PERMILLE: u64 = 20;
 
 /// Position of a job in the queue; the lowest is dispatched first.
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -157,7 +157,7 @@
                 continue;
             };
             submission.starts_unknown = true;
-            if submission.running_on.values().any(|at| *at == index) {
+            if submission.running_on.values().any(|agent| *agent == index) {
                 let failure = Failure::may_have_run(Reason::WorkerLost);
                 self.answer(now, number, Err(failure), effects);
                 continue;
@@ -183,5 +183,5 @@
         Phase::Recovering(awaited) => awaited.contains(&index),
         _ => false,
     };
-    awaited || submission.running_on.values().any(|at| *at == index)
+    awaited || submission.running_on.values().any(|agent| *agent == index)
 }
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -314,8 +314,9 @@
         let Some(job) = self.jobs.get(&submission) else {
             return;
         };
-        let at: BTreeSet<LinkIndex> = job.running.values().map(|running| running.link).collect();
-        for link in at {
+        let agents: BTreeSet<LinkIndex> =
+            job.running.values().map(|running| running.link).collect();
+        for link in agents {
             links.get_mut(link).pending_cancels.push(submission);
         }
     }
--- a/laurelstile-core/src/gateway/submission.rs
+++ b/laurelstile-core/src/gateway/submission.rs
@@ -26,7 +26,7 @@
     /// Requested time limit, capped by that of the class; `None` for the limit
     /// of the class.
     pub deadline: Option<Span>,
-    /// Required for classes that are not repeatable.
+    /// Required for classes that are not repeatable, ignored for others.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
@@ -87,7 +87,7 @@
     pub running_on: BTreeMap<TaskIndex, LinkIndex>,
     /// Agents that hold a fence for the submission.
     pub fenced_on: BTreeSet<LinkIndex>,
-    /// Whether an agent that may have started tasks of it no longer knows.
+    /// Whether an agent that may have started tasks of it has lost its records.
     pub starts_unknown: bool,
     /// The claim; `None` for a repeatable class or if another submission holds
     /// it.
