--- a/laurelstile-core/src/leased/agent/ledger.rs
+++ b/laurelstile-core/src/leased/agent/ledger.rs
@@ -8,9 +8,9 @@
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::input::JobInput;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::{RunId, RunNumber, TaskId};
-use super::super::timing::STOP_AT_MOST;
+use super::super::timing::MAX_STOP_TIME;
 use super::life::LifeNumber;
 use super::worker::WorkerClock;
 
@@ -69,7 +69,7 @@
     /// The gateway that it is for.
     pub owner: Incarnation,
     /// What it needs.
-    pub room: Room,
+    pub resources: Resources,
     /// A rough guess of how long it takes.
     pub estimate: Span,
     /// Input of its job.
@@ -91,7 +91,7 @@
     /// Whether the log was told that they take longer than a stop may.
     pub is_overdue_told: bool,
     /// Whether the worker is to run nothing beside it.
-    pub is_alone: bool,
+    pub is_exclusive: bool,
     /// Whether its task has stood still on another worker.
     pub has_stalled: bool,
     /// Its progress, in percent.
@@ -124,7 +124,7 @@
     /// Whether it has been stopped for longer than a stop may take.
     pub fn is_stop_overdue(&self, now: Timestamp) -> bool {
         match self.state {
-            RunState::Stopping { since, .. } => now.since(since) > STOP_AT_MOST,
+            RunState::Stopping { since, .. } => now.since(since) > MAX_STOP_TIME,
             _ => false,
         }
     }
@@ -134,8 +134,8 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     runs: BTreeMap<TaskId, Run>,
-    taken: Room,
-    waiting_room: Room,
+    taken: Resources,
+    waiting_room: Resources,
     waiting: usize,
     alone: usize,
 }
@@ -232,12 +232,12 @@
     }
 
     /// Room that runs take at the worker.
-    pub fn taken(&self) -> Room {
+    pub fn taken(&self) -> Resources {
         self.taken
     }
 
     /// Room that waiting runs will take.
-    pub fn waiting_room(&self) -> Room {
+    pub fn waiting_room(&self) -> Resources {
         self.waiting_room
     }
 
@@ -252,7 +252,7 @@
     }
 
     fn count(&mut self, run: &Run, is_added: bool) {
-        let alone = usize::from(run.is_alone);
+        let alone = usize::from(run.is_exclusive);
         self.alone = if is_added {
             self.alone + alone
         } else {
@@ -269,9 +269,9 @@
             &mut self.waiting_room
         };
         *sum = if is_added {
-            sum.plus(run.room)
+            sum.saturating_add(run.resources)
         } else {
-            sum.minus(run.room)
+            sum.saturating_sub(run.resources)
         };
     }
 }
--- a/laurelstile-core/src/leased/agent/offers.rs
+++ b/laurelstile-core/src/leased/agent/offers.rs
@@ -8,8 +8,8 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::super::messages::{Announcement, UNLIMITED};
-use super::super::room::Room;
+use super::super::messages::{Announcement, NO_TASK_LIMIT};
+use super::super::resources::Resources;
 use super::owner::{AnnouncedStep, Owner, StepKey};
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 
@@ -32,11 +32,11 @@
     }
 
     /// Room that is held for gateways.
-    pub(super) fn offered_room(&self) -> Room {
+    pub(super) fn offered_room(&self) -> Resources {
         self.owners
             .values()
             .map(Owner::offered_room)
-            .fold(Room::default(), Room::plus)
+            .fold(Resources::default(), Resources::saturating_add)
     }
 
     /// Offers free room to the gateways that wait for it, the best rank first.
@@ -46,18 +46,18 @@
                 effects.push(AgentEffect::Decided(AgentDecision::OfferExpired));
             }
         }
-        if !self.is_available(now) || self.limit_left(now) != UNLIMITED {
+        if !self.is_available(now) || self.limit_left(now) != NO_TASK_LIMIT {
             return;
         }
         while let Some((gateway, step, announced)) = self.first_in_rank(now) {
-            let tasks = announced.room.times_in(self.free_room());
+            let tasks = announced.resources.count_fitting_in(self.free_room());
             let tasks = tasks.min(announced.count);
             let Some(owner) = self.owners.get_mut(&gateway) else {
                 return;
             };
             owner.offer(
                 step,
-                announced.room.times(tasks),
+                announced.resources.multiplied_by(tasks),
                 tasks,
                 now.after(OFFER_LIMIT),
             );
@@ -77,7 +77,7 @@
                     .announced(now)
                     .map(move |(step, announced)| (*gateway, step, announced))
             })
-            .filter(|(_, _, announced)| announced.room.fits(free))
+            .filter(|(_, _, announced)| announced.resources.fits_in(free))
             .min_by_key(|(_, _, announced)| (announced.rank, announced.until))
     }
 }
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -62,7 +62,7 @@
     let session = SessionId(9);
     rig.open_peer(at(0), session);
     let message = ToPeer::Evacuations(evacuations(7, &["here"]));
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     let late = GatewayEvent::Evacuations(evacuations(6, &[]));
     rig.event(at(2), late);
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -90,7 +90,7 @@
     rig.event(at(1), GatewayEvent::Evacuations(evacuations(5, &["here"])));
     rig.evacuations.clear();
     let message = ToPeer::Evacuations(evacuations(9, &["here"]));
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     assert!(rig.evacuations.is_empty());
 }
 
@@ -120,7 +120,7 @@
 /// The gateway that places may not have heard of it: cut off from the store, say.
 #[test]
 fn an_agent_refuses_starts_of_every_gateway_while_any_has_told_it() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     rig.open(at(1), OTHER_SESSION, Incarnation(8));
     let told = ToAgentBody::Evacuations(evacuations(5, &["there", "here"]));
     rig.message_from(at(2), OTHER_SESSION, told);
@@ -143,7 +143,7 @@
 
 #[test]
 fn an_evacuation_ends_what_waits_for_room_and_leaves_what_runs() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -13,7 +13,7 @@
 
 /// An agent whose worker lives its `life-1` and runs a task.
 fn running() -> AgentRig {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
@@ -42,7 +42,7 @@
 fn a_new_life_begins_once_the_worker_says_that_the_old_one_is_over() {
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
     let order = rig.orders.back().expect("the new life is watched");
     assert_eq!(order.life, "life-2".into());
@@ -53,7 +53,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), true);
     rig.register(at(20), "life-2", cpu(8_000), false);
-    rig.end_life(at(21));
+    rig.end_incarnation(at(21));
     rig.take_watches();
     assert!(!rig.is_available());
 }
@@ -64,7 +64,7 @@
     let mut rig = running();
     rig.register(at(20), "life-2", cpu(8_000), false);
     for millis in [50, 100, 200] {
-        rig.lose_watch(at(millis));
+        rig.time_out_watch(at(millis));
     }
     assert!(rig.ends().is_empty(), "the leases run on");
     rig.tick(at(1_200));
--- a/laurelstile-sim/src/fleet/world.rs
+++ b/laurelstile-sim/src/fleet/world.rs
@@ -227,7 +227,7 @@
             Happening::Watched(order) => {
                 let answer = WatchAnswer {
                     clock: Some(machines::worker_clock(self.now)),
-                    born: None,
+                    started_at: None,
                     lists: Ok(WorkerLists::default()),
                 };
                 let life = order.life;
@@ -422,7 +422,7 @@
                 AgentEffect::Close(session) => self.close(machine, session),
                 AgentEffect::Members(members) => {
                     if let Role::Agent(_, subset) = &mut self.machines[machine].role {
-                        subset.learn(members);
+                        subset.add_members(members);
                     }
                     self.dial_wanted(machine);
                 }
