--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -415,7 +415,7 @@
         }
     }
 
-    pub(super) fn on_caller_gone(
+    pub(super) fn on_caller_disconnected(
         &mut self,
         now: Timestamp,
         number: u64,
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -53,7 +53,7 @@
         request: JobRequest,
     },
     /// A caller closed its connection before it was answered.
-    CallerGone {
+    CallerDisconnected {
         /// Sequence number of its submission.
         number: u64,
     },
@@ -267,7 +267,9 @@
         self.detect_suspension(now);
         match event {
             GatewayEvent::Submit { number, request } => self.submit(now, number, request, effects),
-            GatewayEvent::CallerGone { number } => self.on_caller_gone(now, number, effects),
+            GatewayEvent::CallerDisconnected { number } => {
+                self.on_caller_disconnected(now, number, effects)
+            }
             GatewayEvent::Claimed {
                 submission,
                 outcome,
--- a/laurelstile-core/tests/gateway.rs
+++ b/laurelstile-core/tests/gateway.rs
@@ -400,7 +400,7 @@
         ..job("one", 1)
     };
     harness.submit(1, once);
-    harness.handle(GatewayEvent::CallerGone { number: 1 });
+    harness.handle(GatewayEvent::CallerDisconnected { number: 1 });
     assert_eq!(harness.released_claims, 0);
     let submission = harness.claims[0];
     harness.handle(GatewayEvent::Claimed {
--- a/laurelstiled/src/gateway/api.rs
+++ b/laurelstiled/src/gateway/api.rs
@@ -199,7 +199,7 @@
         if let Some(number) = self.number {
             let _ = self
                 .input
-                .send(Input::Event(GatewayEvent::CallerGone { number }));
+                .send(Input::Event(GatewayEvent::CallerDisconnected { number }));
         }
     }
 }
