--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -415,7 +415,7 @@
         }
     }
 
-    pub(super) fn on_caller_disconnected(
+    pub(super) fn on_disconnect(
         &mut self,
         now: Timestamp,
         number: u64,
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -267,9 +267,7 @@
         self.detect_suspension(now);
         match event {
             GatewayEvent::Submit { number, request } => self.submit(now, number, request, effects),
-            GatewayEvent::CallerDisconnected { number } => {
-                self.on_caller_disconnected(now, number, effects)
-            }
+            GatewayEvent::CallerDisconnected { number } => self.on_disconnect(now, number, effects),
             GatewayEvent::Claimed {
                 submission,
                 outcome,
