--- a/laurelstiled/src/agent/backend.rs
+++ b/laurelstiled/src/agent/backend.rs
@@ -1,4 +1,4 @@
-//! The back end that an agent stands beside.
+//! The back end that runs the tasks of an agent.
 
 use std::future::Future;
 use std::time::Duration;
@@ -11,44 +11,44 @@
 use laurelstile_types::configuration::MAX_DEADLINE_MILLIS;
 use laurelstile_types::id::{ClassName, DispatchId, ServiceName};
 
-/// Header that names the dispatch to the back end.
+/// Request header with the dispatch id.
 pub const DISPATCH_HEADER: &str = "x-laurelstile-dispatch";
-/// Header that names the submission to the back end.
+/// Request header with the submission id.
 pub const SUBMISSION_HEADER: &str = "x-laurelstile-submission";
-/// Header that gives the task's index to the back end.
+/// Request header with the index of the task in its submission.
 pub const TASK_HEADER: &str = "x-laurelstile-task";
 
 /// A task to run.
 #[derive(Debug)]
 pub struct Run {
-    /// The dispatch.
+    /// Identifier of this attempt to run the task.
     pub dispatch: DispatchId,
-    /// Service.
+    /// Service that the task belongs to.
     pub service: ServiceName,
-    /// Class.
+    /// Class of the task.
     pub class: ClassName,
-    /// Input.
+    /// Input as submitted by the caller.
     pub input: Payload,
 }
 
 /// Runs tasks.
 pub trait Backend: Send + Sync + 'static {
-    /// Runs a task. Dropping the future breaks the run off.
+    /// Runs a task to its end. Dropping the future aborts the run.
     fn run(&self, run: Run) -> impl Future<Output = RunEnd> + Send;
 }
 
-/// A back end behind HTTP: `POST /run/{service}/{class}`.
+/// A back end reached over HTTP: `POST /run/{service}/{class}`.
 #[derive(Debug)]
 pub struct HttpBackend {
-    base: String,
+    base_uri: String,
     http: HttpClient,
 }
 
 impl HttpBackend {
-    /// The back end at a base address.
+    /// Creates a client of the back end at `base`, such as `http://127.0.0.1:9000`.
     pub fn new(base: &str) -> Self {
         Self {
-            base: base.to_owned(),
+            base_uri: base.to_owned(),
             http: HttpClient::new(Duration::from_millis(MAX_DEADLINE_MILLIS)),
         }
     }
@@ -56,7 +56,7 @@
 
 impl Backend for HttpBackend {
     async fn run(&self, run: Run) -> RunEnd {
-        let uri = format!("{}/run/{}/{}", self.base, run.service, run.class);
+        let uri = format!("{}/run/{}/{}", self.base_uri, run.service, run.class);
         let dispatch = run.dispatch.to_string();
         let submission = run.dispatch.submission.to_string();
         let task = run.dispatch.task.to_string();
@@ -77,13 +77,13 @@
                 RunEnd::Ended(TaskOutcome::Output(output))
             }
             Ok(response) => {
-                log::info!(dispatch = dispatch.as_str(), status:% = response.status; "task failed");
+                log::info!(dispatch = dispatch.as_str(), status:% = response.status; "back end answered the task with an error status");
                 RunEnd::Ended(TaskOutcome::Failed)
             }
-            // Nothing was sent: proof that the task did not start.
+            // Nothing was sent, so the task did not start.
             Err(HttpError::Connect(_) | HttpError::Request(_)) => RunEnd::NotStarted,
             Err(error) => {
-                log::warn!(dispatch = dispatch.as_str(), error:% = error; "back end broke off");
+                log::warn!(dispatch = dispatch.as_str(), error:% = error; "call to the back end failed; task outcome unknown");
                 RunEnd::Ended(TaskOutcome::Unknown)
             }
         }
--- a/laurelstiled/src/agent/driver.rs
+++ b/laurelstiled/src/agent/driver.rs
@@ -1,5 +1,4 @@
-//! Drives the agent's machine: one task takes inputs in batches and carries
-//! the machine's effects out.
+//! Drives the agent's state machine: one task handles inputs in batches and executes the effects.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,68 +19,68 @@
 use crate::clock::Clock;
 use crate::telemetry::{MESSAGES, NOT_STARTED, REVISION, STARTS};
 
-/// How often the machine gets to look at the time.
-const TICK: Duration = Duration::from_millis(50);
-/// Most inputs that are handled before the machine is flushed.
-const INPUT_BATCH: usize = 256;
+/// Interval of the state machine's clock ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of inputs handled before the state machine is flushed.
+const MAX_INPUT_BATCH: usize = 256;
 
-/// What the driver's task is told.
+/// Input of the driver.
 #[derive(Debug)]
-pub enum Input {
-    /// A gateway's session is open.
+pub enum DriverInput {
+    /// A gateway has opened a session.
     Opened {
-        /// The session.
+        /// Identifier of the session in this process.
         session: SessionId,
         /// Incarnation of the gateway.
         gateway: Incarnation,
-        /// Where its messages go.
+        /// Queue of messages to the gateway; dropping it closes the session.
         outgoing: mpsc::UnboundedSender<FromAgent>,
     },
-    /// A session is closed.
+    /// A session has ended.
     Closed {
-        /// The session.
+        /// Identifier of the session in this process.
         session: SessionId,
     },
-    /// A message came.
+    /// A gateway has sent a message.
     Message {
-        /// The session.
+        /// Session on which it was received.
         session: SessionId,
-        /// The message.
+        /// The message as received.
         message: ToAgent,
     },
     /// A run has ended.
     Finished {
-        /// The dispatch.
+        /// Dispatch of the run.
         dispatch: DispatchId,
-        /// How.
+        /// Outcome of the run.
         end: RunEnd,
     },
-    /// A planned stop.
+    /// Begin a graceful shutdown.
     Stop,
 }
 
-/// Drives one agent's machine.
+/// Feeds inputs to the agent's state machine and executes its effects.
 pub struct Driver<B> {
     clock: Clock,
     machine: Agent,
     incarnation: Incarnation,
     backend: Arc<B>,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     history: HistoryWriter,
     gateways: HashMap<SessionId, mpsc::UnboundedSender<FromAgent>>,
     runs: HashMap<DispatchId, AbortHandle>,
     effects: Vec<AgentEffect>,
-    stopped: bool,
+    is_stopped: bool,
 }
 
 impl<B: Backend> Driver<B> {
-    /// A driver for `machine`.
+    /// Creates a driver for `machine`; ends of runs are sent to `input`.
     pub fn new(
         clock: Clock,
         machine: Agent,
         incarnation: Incarnation,
         backend: Arc<B>,
-        input: mpsc::UnboundedSender<Input>,
+        input: mpsc::UnboundedSender<DriverInput>,
         history: HistoryWriter,
     ) -> Self {
         Self {
@@ -94,32 +93,32 @@
             gateways: HashMap::new(),
             runs: HashMap::new(),
             effects: Vec::new(),
-            stopped: false,
+            is_stopped: false,
         }
     }
 
-    /// Runs until a planned stop is complete.
-    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut tick = tokio::time::interval(TICK);
+    /// Handles `inputs` until a graceful shutdown has finished.
+    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<DriverInput>) {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(INPUT_BATCH);
-        while !self.stopped {
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
+        while !self.is_stopped {
             tokio::select! {
-                _ = inputs.recv_many(&mut batch, INPUT_BATCH) => {
+                _ = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     for input in batch.drain(..) {
-                        self.take(input);
+                        self.handle_input(input);
                     }
                 }
                 _ = tick.tick() => self.handle(AgentEvent::Tick),
             }
             self.machine.flush(self.clock.now(), &mut self.effects);
-            self.carry_out();
+            self.execute_effects();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: DriverInput) {
         match input {
-            Input::Opened {
+            DriverInput::Opened {
                 session,
                 gateway,
                 outgoing,
@@ -127,19 +126,19 @@
                 self.gateways.insert(session, outgoing);
                 self.handle(AgentEvent::Opened { session, gateway });
             }
-            Input::Closed { session } => {
+            DriverInput::Closed { session } => {
                 self.gateways.remove(&session);
                 self.handle(AgentEvent::Closed { session });
             }
-            Input::Message { session, message } => {
+            DriverInput::Message { session, message } => {
                 self.handle(AgentEvent::Message { session, message });
             }
-            Input::Finished { dispatch, end } => {
+            DriverInput::Finished { dispatch, end } => {
                 self.runs.remove(&dispatch);
                 self.handle(AgentEvent::Finished { dispatch, end });
             }
-            Input::Stop => {
-                log::info!("planned stop: refusing new work, finishing what runs");
+            DriverInput::Stop => {
+                log::info!("graceful shutdown started: refusing new tasks, finishing running ones");
                 self.handle(AgentEvent::Stop);
             }
         }
@@ -150,7 +149,7 @@
             .handle(self.clock.now(), event, &mut self.effects);
     }
 
-    fn carry_out(&mut self) {
+    fn execute_effects(&mut self) {
         for effect in std::mem::take(&mut self.effects) {
             match effect {
                 AgentEffect::Send { session, message } => self.send(session, message),
@@ -182,8 +181,8 @@
                         revision,
                     });
                 }
-                AgentEffect::Draining => log::info!("draining: refusing new work"),
-                AgentEffect::Stopped => self.stopped = true,
+                AgentEffect::Draining => log::info!("draining: refusing new tasks"),
+                AgentEffect::Stopped => self.is_stopped = true,
             }
         }
     }
@@ -204,13 +203,13 @@
     fn start(&mut self, run: Run) {
         counter!(STARTS).increment(1);
         let dispatch = run.dispatch;
-        log::debug!(dispatch:% = dispatch; "task starts");
+        log::debug!(dispatch:% = dispatch; "starting task");
         let backend = Arc::clone(&self.backend);
         let input = self.input.clone();
-        let running = tokio::spawn(async move {
+        let run_task = tokio::spawn(async move {
             let end = backend.run(run).await;
-            let _ = input.send(Input::Finished { dispatch, end });
+            let _ = input.send(DriverInput::Finished { dispatch, end });
         });
-        self.runs.insert(dispatch, running.abort_handle());
+        self.runs.insert(dispatch, run_task.abort_handle());
     }
 }
--- a/laurelstiled/src/agent/http.rs
+++ b/laurelstiled/src/agent/http.rs
@@ -1,4 +1,4 @@
-//! The agent's small HTTP server: health and metrics.
+//! The agent's HTTP server for health and metrics.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 use crate::error::DaemonError;
 use crate::gateway::api::{Health, metrics_response};
 
-/// Starts the server.
+/// Starts the server on `address`.
 ///
 /// # Errors
-/// [`DaemonError`] if the address cannot be bound.
+/// [`DaemonError::Http`] if the address cannot be bound.
 pub fn serve(
     address: SocketAddr,
     metrics: PrometheusHandle,
@@ -42,7 +42,7 @@
     Ok(api)
 }
 
-/// Whether the process lives.
+/// Liveness probe: always succeeds while the process runs.
 #[endpoint { method = GET, path = "/health/live" }]
 async fn read_liveness(
     _request: RequestContext<PrometheusHandle>,
@@ -50,7 +50,7 @@
     Ok(HttpResponseOk(Health { ok: true }))
 }
 
-/// Metrics in Prometheus's text format.
+/// Metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn read_metrics(
     request: RequestContext<PrometheusHandle>,
--- a/laurelstiled/src/agent/mod.rs
+++ b/laurelstiled/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent role: one task drives the agent's machine; others hold sessions
+//! Runs an agent process: one task drives the state machine, others hold the sessions to gateways
 //! and run tasks on the back end.
 
 pub mod backend;
@@ -24,17 +24,16 @@
 use crate::settings::{AgentSettings, Node};
 use crate::telemetry::{self, SESSION_ERRORS};
 use backend::{Backend, HttpBackend};
-use driver::{Driver, Input};
+use driver::{Driver, DriverInput};
 
-/// How long the last messages may take to leave.
-const LAST_MESSAGES: std::time::Duration = std::time::Duration::from_millis(300);
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+/// Time for the last messages to be written before the process exits.
+const MESSAGE_FLUSH_DELAY: std::time::Duration = std::time::Duration::from_millis(300);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// Runs an agent beside an HTTP back end until a planned stop is complete.
+/// Runs an agent of an HTTP back end until its graceful shutdown has finished.
 ///
 /// # Errors
-/// [`DaemonError`] if it cannot start.
+/// [`DaemonError`] if the agent cannot start.
 pub async fn run_with_http_backend(node: Node, settings: AgentSettings) -> Result<(), DaemonError> {
     let metrics = telemetry::install()?;
     let server = http::serve(settings.metrics, metrics)?;
@@ -46,14 +45,14 @@
     };
     log::info!(backend = node.name.as_str(); "agent started");
     run(node, listener, Arc::new(backend), stop).await?;
-    let _ = tokio::time::timeout(LAST_MESSAGES, server.close()).await;
+    let _ = tokio::time::timeout(MESSAGE_FLUSH_DELAY, server.close()).await;
     Ok(())
 }
 
-/// Runs an agent until a planned stop, begun by `stop`, is complete.
+/// Runs an agent until its graceful shutdown has finished; completion of `stop` starts the shutdown.
 ///
 /// # Errors
-/// [`DaemonError`] if it cannot start.
+/// [`DaemonError::History`] if the history file cannot be opened.
 pub async fn run<B: Backend>(
     node: Node,
     listener: TcpListener,
@@ -69,13 +68,13 @@
     let stop_input = input.clone();
     tokio::spawn(async move {
         stop.await;
-        let _ = stop_input.send(Input::Stop);
+        let _ = stop_input.send(DriverInput::Stop);
     });
     let machine = Agent::new(BackendName(node.name.clone()));
     Driver::new(clock, machine, incarnation, backend, input, history)
         .run(inputs)
         .await;
-    tokio::time::sleep(LAST_MESSAGES).await;
+    tokio::time::sleep(MESSAGE_FLUSH_DELAY).await;
     accepting.abort();
     log::info!(backend = node.name.as_str(); "agent stopped");
     Ok(())
@@ -84,26 +83,26 @@
 async fn accept_gateways(
     listener: TcpListener,
     local: LocalNode,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
 ) {
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (local, input) = (local.clone(), input.clone());
         tokio::spawn(async move {
-            let error = hold_session(stream, &local, &input).await;
+            let error = run_session(stream, &local, &input).await;
             counter!(SESSION_ERRORS, "kind" => error.kind(), "side" => "gateway").increment(1);
             log::info!(remote:% = address, error:% = error; "session to gateway ended");
         });
     }
 }
 
-async fn hold_session(
+async fn run_session(
     stream: TcpStream,
     local: &LocalNode,
-    input: &mpsc::UnboundedSender<Input>,
+    input: &mpsc::UnboundedSender<DriverInput>,
 ) -> WireError {
     let (socket, remote) = match session::accept(stream, local, NodeRole::Gateway).await {
         Ok(opened) => opened,
@@ -111,15 +110,15 @@
     };
     let session = next_session();
     let (outgoing, messages) = mpsc::unbounded_channel();
-    let _ = input.send(Input::Opened {
+    let _ = input.send(DriverInput::Opened {
         session,
         gateway: remote.incarnation,
         outgoing,
     });
     let error = session::run(socket, messages, |message| {
-        let _ = input.send(Input::Message { session, message });
+        let _ = input.send(DriverInput::Message { session, message });
     })
     .await;
-    let _ = input.send(Input::Closed { session });
+    let _ = input.send(DriverInput::Closed { session });
     error
 }
--- a/laurelstiled/src/clock.rs
+++ b/laurelstiled/src/clock.rs
@@ -1,19 +1,19 @@
-//! The process's clock, as the machines want it.
+//! The clock of the state machines: monotonic, and including time during which the host was
+//! suspended.
 //!
-//! A machine may be suspended for seconds, with all its processes. The usual monotonic clock
-//! does not count that time, so what was fresh before would seem fresh after: an old echo
-//! would let a start through that its gateway has long placed elsewhere. The clock here
-//! counts it: for the machines, a suspended process is one that stood still.
+//! The usual monotonic clock stops during a suspension. Measured by it, data received before a
+//! suspension would look fresh after it, and an agent could accept a start that the gateway has
+//! long since placed elsewhere.
 
 use std::time::{Duration, Instant};
 
 use laurelstile_types::time::Timestamp;
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the system was started, with the time for which it was suspended.
+/// Time since boot, including suspended time.
 const SINCE_BOOT: ClockId = ClockId::CLOCK_BOOTTIME;
 
-/// A clock that starts with the process, never goes back, and counts suspended time.
+/// A monotonic clock that counts from its start and includes suspended time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at 0.
     pub fn start() -> Self {
         let started = Instant::now();
         Self {
@@ -30,12 +30,13 @@
         }
     }
 
-    /// When the clock started.
+    /// Instant at which the clock was started.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// The present reading. Where the system has no such clock, suspended time is lost.
+    /// Time since the start, in microseconds. On a system without `CLOCK_BOOTTIME`, suspended time
+    /// is not included.
     pub fn now(&self) -> Timestamp {
         let elapsed = match (self.since_boot, since_boot()) {
             (Some(begin), Some(now)) => now.saturating_sub(begin),
--- a/laurelstiled/src/gateway/api.rs
+++ b/laurelstiled/src/gateway/api.rs
@@ -1,4 +1,6 @@
-//! The HTTP API of a gateway: callers, operators, health and metrics.
+//! The HTTP API of a gateway for callers, operators, health checks and metrics.
+//!
+//! Doc comments of endpoints and schema types are published in `openapi.json`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,16 +29,16 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::{mpsc, oneshot};
 
-use super::input::Input;
+use super::input::DriverInput;
 use crate::error::DaemonError;
 use crate::settings::GatewaySettings;
 
 /// Version of the API in its OpenAPI document.
 const API_VERSION: dropshot::semver::Version = dropshot::semver::Version::new(1, 0, 0);
 
-/// What the handlers share.
+/// State shared by the request handlers.
 pub struct Context {
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     platform: HttpPlatform,
     operator_token: [u8; 32],
     metrics: PrometheusHandle,
@@ -44,9 +46,10 @@
 }
 
 impl Context {
-    /// A context for the gateway whose driver listens on `input`.
+    /// Creates the context of the gateway whose driver reads `input`. Only the digest of the
+    /// operator token is kept.
     pub fn new(
-        input: mpsc::UnboundedSender<Input>,
+        input: mpsc::UnboundedSender<DriverInput>,
         platform: HttpPlatform,
         operator_token: &str,
         metrics: PrometheusHandle,
@@ -60,20 +63,20 @@
         }
     }
 
-    async fn ask<T>(
+    async fn query<T>(
         &self,
-        question: impl FnOnce(oneshot::Sender<T>) -> Input,
+        to_input: impl FnOnce(oneshot::Sender<T>) -> DriverInput,
     ) -> Result<T, HttpError> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.input.send(question(reply));
-        answer.await.map_err(|_| stopping())
+        let _ = self.input.send(to_input(reply));
+        answer.await.map_err(|_| not_ready())
     }
 }
 
-/// Starts the HTTP server.
+/// Starts the HTTP server on the API address of the settings.
 ///
 /// # Errors
-/// [`DaemonError`] if the address cannot be bound.
+/// [`DaemonError::Http`] if the address cannot be bound.
 pub fn serve(
     settings: &GatewaySettings,
     context: Context,
@@ -95,10 +98,10 @@
         })
 }
 
-/// The API's description.
+/// Registers all endpoints.
 ///
 /// # Errors
-/// If an endpoint is described wrongly.
+/// [`ApiDescriptionRegisterError`] if an endpoint is invalid or conflicts with another.
 pub fn describe() -> Result<ApiDescription<Context>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(submit_job_endpoint())?;
@@ -111,29 +114,30 @@
     Ok(api)
 }
 
-/// The OpenAPI document, as it is committed.
+/// Generates the OpenAPI document that is committed as `openapi.json`.
 ///
 /// # Errors
-/// If an endpoint is described wrongly.
+/// [`OpenApiError`] if an endpoint is invalid or the document cannot be serialized.
 pub fn openapi() -> Result<String, OpenApiError> {
     let api = describe()?;
     let document = api.openapi("laurelstile gateway", API_VERSION).json()?;
     Ok(serde_json::to_string_pretty(&document)? + "\n")
 }
 
-/// Why the OpenAPI document could not be made.
+/// Why the OpenAPI document could not be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenApiError {
-    /// An endpoint is described wrongly.
+    /// An endpoint is invalid or conflicts with another.
     #[error("cannot register an endpoint")]
     Register(#[from] ApiDescriptionRegisterError),
-    /// The document cannot be written as JSON.
-    #[error("cannot write the document")]
+    /// The document cannot be serialized.
+    #[error("cannot serialize the OpenAPI document")]
     Json(#[from] serde_json::Error),
 }
 
-/// `submit_job` answers with headers of its own, which dropshot's typed errors
-/// cannot carry; its document entry is made from the types that it sends.
+/// Endpoint of `submit_job`. The handler builds its responses itself, since typed errors of
+/// dropshot cannot carry a `Retry-After` header; the OpenAPI entry is generated from the response
+/// types instead.
 fn submit_job_endpoint() -> ApiEndpoint<Context> {
     let mut endpoint: ApiEndpoint<Context> = submit_job.into();
     let typed: ApiEndpoint<StubContext> = ApiEndpoint::new_for_types::<
@@ -188,18 +192,18 @@
     service: ServiceName,
 }
 
-/// Tells the driver if the handler is dropped before its answer.
-struct Abandonment<'a> {
-    input: &'a mpsc::UnboundedSender<Input>,
+/// Notifies the driver on drop that the caller has disconnected, unless the job was answered.
+struct DisconnectGuard<'a> {
+    input: &'a mpsc::UnboundedSender<DriverInput>,
     number: Option<u64>,
 }
 
-impl Drop for Abandonment<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(number) = self.number {
             let _ = self
                 .input
-                .send(Input::Event(GatewayEvent::CallerGone { number }));
+                .send(DriverInput::Event(GatewayEvent::CallerGone { number }));
         }
     }
 }
@@ -216,23 +220,23 @@
 ) -> Result<Response<Body>, HttpError> {
     let context = request.context();
     let number = context.next_number.fetch_add(1, Ordering::Relaxed);
-    let job = core_request(path.into_inner().service, body.into_inner())?;
-    let mut abandonment = Abandonment {
+    let job = to_core_request(path.into_inner().service, body.into_inner())?;
+    let mut guard = DisconnectGuard {
         input: &context.input,
         number: Some(number),
     };
     let answer = context
-        .ask(|reply| Input::Submit {
+        .query(|reply| DriverInput::Submit {
             number,
             request: job,
             reply,
         })
         .await;
-    abandonment.number = None;
-    response_of(*answer?)
+    guard.number = None;
+    to_response(*answer?)
 }
 
-fn core_request(service: ServiceName, job: JobRequest) -> Result<CoreRequest, HttpError> {
+fn to_core_request(service: ServiceName, job: JobRequest) -> Result<CoreRequest, HttpError> {
     let inputs = job
         .tasks
         .iter()
@@ -249,7 +253,7 @@
     })
 }
 
-/// The answer's body, without parsing the results again.
+/// Body of an answer; results that are JSON are copied without being parsed into values.
 #[derive(Serialize)]
 struct RawAnswer<'a> {
     submission: SubmissionId,
@@ -263,10 +267,10 @@
     Text(std::borrow::Cow<'a, str>),
 }
 
-fn response_of(answer: Answer) -> Result<Response<Body>, HttpError> {
+fn to_response(answer: Answer) -> Result<Response<Body>, HttpError> {
     match answer.outcome {
         Ok(outputs) => {
-            let results = outputs.iter().map(raw_result).collect();
+            let results = outputs.iter().map(to_raw_result).collect();
             let body = RawAnswer {
                 submission: answer.submission,
                 results,
@@ -277,9 +281,8 @@
     }
 }
 
-/// A back end that answers with something else than JSON has it sent on as a
-/// JSON string.
-fn raw_result(output: &Payload) -> RawResult<'_> {
+/// Output that is not JSON is sent as a JSON string.
+fn to_raw_result(output: &Payload) -> RawResult<'_> {
     match serde_json::from_slice(output.as_bytes()) {
         Ok(raw) => RawResult::Json(raw),
         Err(_) => RawResult::Text(String::from_utf8_lossy(output.as_bytes())),
@@ -316,7 +319,7 @@
     response.body(bytes.into()).map_err(internal)
 }
 
-/// The HTTP status of each reason: the one place where they are mapped.
+/// Maps each reason to its HTTP status.
 fn status_of(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadRequest | Reason::JobSize | Reason::IdempotencyKeyMissing => {
@@ -362,11 +365,11 @@
         .map_err(|error| append_error(&error))?;
     let number = accepted.number;
     log::info!(change:% = id, revision = number; "change accepted");
-    // In force here at once, and from here everywhere, whatever becomes of
-    // the table.
+    // Apply the revision without waiting for the next poll of the table; from here it is also
+    // distributed over the sessions to the other processes.
     if let Some(revision) = accepted.revision {
         let event = GatewayEvent::Revision(Arc::new(revision));
-        let _ = context.input.send(Input::Event(event));
+        let _ = context.input.send(DriverInput::Event(event));
     }
     Ok(HttpResponseOk(ChangeAccepted { revision: number }))
 }
@@ -396,7 +399,7 @@
     request: RequestContext<Context>,
 ) -> Result<HttpResponseOk<Status>, HttpError> {
     authorize(&request)?;
-    let status = request.context().ask(Input::Status).await?;
+    let status = request.context().query(DriverInput::Status).await?;
     Ok(HttpResponseOk(status))
 }
 
@@ -406,7 +409,7 @@
     request: RequestContext<Context>,
 ) -> Result<HttpResponseOk<InForce>, HttpError> {
     authorize(&request)?;
-    let revision = request.context().ask(Input::InForce).await?;
+    let revision = request.context().query(DriverInput::InForce).await?;
     Ok(HttpResponseOk(InForce { revision }))
 }
 
@@ -423,11 +426,11 @@
 async fn read_readiness(
     request: RequestContext<Context>,
 ) -> Result<HttpResponseOk<Health>, HttpError> {
-    let status = request.context().ask(Input::Status).await?;
+    let status = request.context().query(DriverInput::Status).await?;
     if status.ready {
         return Ok(HttpResponseOk(Health { ok: true }));
     }
-    Err(stopping())
+    Err(not_ready())
 }
 
 /// Metrics in Prometheus's text format.
@@ -458,12 +461,12 @@
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.strip_prefix("Bearer "));
-    // Digests are compared, so that the time taken tells nothing.
+    // Compare digests, so that the comparison time reveals nothing about the token.
     let digest: Option<[u8; 32]> = token.map(|token| Sha256::digest(token).into());
     if digest == Some(request.context().operator_token) {
         return Ok(());
     }
-    log::warn!(remote:% = request.request.remote_addr(); "operator call without the token");
+    log::warn!(remote:% = request.request.remote_addr(); "operator call rejected: missing or wrong token");
     Err(HttpError::for_client_error(
         Some("unauthorized".to_owned()),
         ClientErrorStatusCode::UNAUTHORIZED,
@@ -471,7 +474,7 @@
     ))
 }
 
-fn stopping() -> HttpError {
+fn not_ready() -> HttpError {
     let message = "this gateway does not take jobs now".to_owned();
     HttpError::for_unavail(Some("not_ready".to_owned()), message)
 }
--- a/laurelstiled/src/gateway/dial.rs
+++ b/laurelstiled/src/gateway/dial.rs
@@ -1,4 +1,4 @@
-//! Keeps a session to the agent of every configured back end.
+//! Keeps a session to the agent of each back end in the configuration.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -13,52 +13,51 @@
 use metrics::counter;
 use tokio::sync::{mpsc, watch};
 
-use super::input::Input;
+use super::input::DriverInput;
 use crate::session::next_session;
 use crate::telemetry::SESSION_ERRORS;
 
-/// Pause before the first redial, doubled up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two dials.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before the first redial; it doubles up to the maximum.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// An agent to dial.
+/// An agent that is dialed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Target {
     backend: BackendName,
     address: SocketAddr,
 }
 
-/// What every dial needs.
+/// What is common to all dialed sessions of this process.
 #[derive(Clone)]
-pub struct Dialing {
-    /// This process.
+pub struct DialContext {
+    /// Identity of this process, sent in the handshake.
     pub local: LocalNode,
-    /// Local address to dial from.
+    /// Local address to dial from; `None` leaves the choice to the system.
     pub source: Option<IpAddr>,
-    /// The driver's inputs.
-    pub input: mpsc::UnboundedSender<Input>,
+    /// Input of the driver.
+    pub input: mpsc::UnboundedSender<DriverInput>,
 }
 
-/// Dials the agents that the configuration names.
+/// Dials the agents of the configured back ends.
 pub struct AgentDialer {
-    dialing: Dialing,
+    context: DialContext,
     dialed: BTreeSet<Target>,
     configured: watch::Sender<BTreeSet<Target>>,
 }
 
 impl AgentDialer {
-    /// A dialer without targets.
-    pub fn new(dialing: Dialing) -> Self {
+    /// Creates a dialer that dials nothing until a configuration is applied.
+    pub fn new(context: DialContext) -> Self {
         Self {
-            dialing,
+            context,
             dialed: BTreeSet::new(),
             configured: watch::Sender::new(BTreeSet::new()),
         }
     }
 
-    /// Dials what is new in a configuration. What is no longer in it keeps
-    /// its session until the agent ends, since tasks may be in flight.
+    /// Dials the agents that are new in `configuration`. Sessions to agents that were removed stay
+    /// open until the agent exits, since tasks may be in flight.
     pub fn configure(&mut self, configuration: &Configuration) {
         let targets: BTreeSet<Target> = configuration
             .backends()
@@ -69,9 +68,9 @@
             .collect();
         for target in &targets {
             if self.dialed.insert(target.clone()) {
-                tokio::spawn(keep_session(
+                tokio::spawn(maintain_session(
                     target.clone(),
-                    self.dialing.clone(),
+                    self.context.clone(),
                     self.configured.subscribe(),
                 ));
             }
@@ -81,19 +80,19 @@
     }
 }
 
-async fn keep_session(
+async fn maintain_session(
     target: Target,
-    dialing: Dialing,
+    context: DialContext,
     configured: watch::Receiver<BTreeSet<Target>>,
 ) {
-    let input = &dialing.input;
-    let mut pause = FIRST_PAUSE;
+    let input = &context.input;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         let started = tokio::time::Instant::now();
-        let error = hold_session(&target, &dialing).await;
-        let refused = matches!(error, WireError::Refused);
-        if refused {
-            let _ = input.send(Input::Event(GatewayEvent::AgentRefused {
+        let error = run_session(&target, &context).await;
+        let is_refused = matches!(error, WireError::Refused);
+        if is_refused {
+            let _ = input.send(DriverInput::Event(GatewayEvent::AgentRefused {
                 backend: target.backend.clone(),
             }));
         } else {
@@ -101,46 +100,46 @@
             log::info!(backend:% = target.backend, error:% = error; "session to agent ended");
         }
         let is_configured = configured.borrow().contains(&target);
-        if input.is_closed() || (refused && !is_configured) {
+        if input.is_closed() || (is_refused && !is_configured) {
             return;
         }
-        if started.elapsed() > LONGEST_PAUSE {
-            pause = FIRST_PAUSE;
+        if started.elapsed() > MAX_BACKOFF {
+            backoff = INITIAL_BACKOFF;
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-async fn hold_session(target: &Target, dialing: &Dialing) -> WireError {
-    let Dialing {
+async fn run_session(target: &Target, context: &DialContext) -> WireError {
+    let DialContext {
         local,
         source,
         input,
-    } = dialing;
+    } = context;
     let dialed = session::dial(target.address, *source, local, NodeRole::Agent).await;
     let (socket, remote) = match dialed {
         Ok(opened) => opened,
         Err(error) => return error,
     };
     if remote.name != target.backend.0 {
-        log::warn!(backend:% = target.backend, name = remote.name.as_str(); "another agent answers");
+        log::warn!(backend:% = target.backend, name = remote.name.as_str(); "the agent at this address has another name");
         return WireError::Role;
     }
     let session = next_session();
     let (outgoing, messages) = mpsc::unbounded_channel();
-    let _ = input.send(Input::AgentOpened {
+    let _ = input.send(DriverInput::AgentOpened {
         session,
         remote,
         outgoing,
     });
     let error = session::run(socket, messages, |message| {
-        let _ = input.send(Input::Event(GatewayEvent::AgentMessage {
+        let _ = input.send(DriverInput::Event(GatewayEvent::AgentMessage {
             session,
             message,
         }));
     })
     .await;
-    let _ = input.send(Input::Event(GatewayEvent::AgentClosed { session }));
+    let _ = input.send(DriverInput::Event(GatewayEvent::AgentClosed { session }));
     error
 }
--- a/laurelstiled/src/gateway/driver.rs
+++ b/laurelstiled/src/gateway/driver.rs
@@ -1,5 +1,5 @@
-//! Drives the gateway's machine: one task takes inputs in batches and carries
-//! the machine's effects out.
+//! Drives the gateway's state machine: one task handles inputs in batches and executes the
+//! effects.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,40 +15,40 @@
 use tokio::time::MissedTickBehavior;
 
 use super::dial::AgentDialer;
-use super::input::{ClaimCall, Input};
+use super::input::{ClaimCommand, DriverInput};
 use crate::clock::Clock;
 use crate::telemetry::{
     LATE_RESULTS, MESSAGES, QUEUED_TASKS, RESPONSE_SECONDS, REVISION, SUBMISSIONS, TASK_SECONDS,
 };
 
-/// How often the machine gets to look at the time.
-const TICK: Duration = Duration::from_millis(20);
-/// Most inputs that are handled before the machine is flushed.
-const INPUT_BATCH: usize = 256;
-/// Ticks between two updates of the gauges.
-const GAUGE_TICKS: u32 = 25;
+/// Interval of the state machine's clock ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of inputs handled before the state machine is flushed.
+const MAX_INPUT_BATCH: usize = 256;
+/// Number of ticks between updates of the gauges.
+const TICKS_PER_GAUGE_UPDATE: u32 = 25;
 
-/// Drives one gateway's machine.
+/// Feeds inputs to the gateway's state machine and executes its effects.
 pub struct Driver {
     clock: Clock,
     machine: Gateway,
     dialer: AgentDialer,
-    claims: mpsc::UnboundedSender<ClaimCall>,
+    claims: mpsc::UnboundedSender<ClaimCommand>,
     history: HistoryWriter,
-    waiting: HashMap<u64, oneshot::Sender<Box<Answer>>>,
+    pending_replies: HashMap<u64, oneshot::Sender<Box<Answer>>>,
     agents: HashMap<SessionId, mpsc::UnboundedSender<ToAgent>>,
     peers: HashMap<SessionId, mpsc::UnboundedSender<ToPeer>>,
     effects: Vec<GatewayEffect>,
-    stopped: bool,
+    is_stopped: bool,
 }
 
 impl Driver {
-    /// A driver for `machine`.
+    /// Creates a driver for `machine`; claims are sent to `claims`.
     pub fn new(
         clock: Clock,
         machine: Gateway,
         dialer: AgentDialer,
-        claims: mpsc::UnboundedSender<ClaimCall>,
+        claims: mpsc::UnboundedSender<ClaimCommand>,
         history: HistoryWriter,
     ) -> Self {
         Self {
@@ -57,55 +57,55 @@
             dialer,
             claims,
             history,
-            waiting: HashMap::new(),
+            pending_replies: HashMap::new(),
             agents: HashMap::new(),
             peers: HashMap::new(),
             effects: Vec::new(),
-            stopped: false,
+            is_stopped: false,
         }
     }
 
-    /// Runs until a planned stop is complete.
-    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<Input>) {
-        let mut tick = tokio::time::interval(TICK);
+    /// Handles `inputs` until a graceful shutdown has finished.
+    pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<DriverInput>) {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut batch = Vec::with_capacity(INPUT_BATCH);
+        let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
         let mut ticks = 0;
-        while !self.stopped {
+        while !self.is_stopped {
             tokio::select! {
-                _ = inputs.recv_many(&mut batch, INPUT_BATCH) => {
+                _ = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {
                     for input in batch.drain(..) {
-                        self.take(input);
+                        self.handle_input(input);
                     }
                 }
                 _ = tick.tick() => {
                     self.handle(GatewayEvent::Tick);
                     ticks += 1;
-                    if ticks % GAUGE_TICKS == 0 {
+                    if ticks % TICKS_PER_GAUGE_UPDATE == 0 {
                         self.update_gauges();
                     }
                 }
             }
             self.machine.flush(self.clock.now(), &mut self.effects);
-            self.carry_out();
+            self.execute_effects();
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: DriverInput) {
         match input {
-            Input::Event(event) => {
-                observe(&event);
+            DriverInput::Event(event) => {
+                record_run_times(&event);
                 self.handle(event);
             }
-            Input::Submit {
+            DriverInput::Submit {
                 number,
                 request,
                 reply,
             } => {
-                self.waiting.insert(number, reply);
+                self.pending_replies.insert(number, reply);
                 self.handle(GatewayEvent::Submit { number, request });
             }
-            Input::AgentOpened {
+            DriverInput::AgentOpened {
                 session,
                 remote,
                 outgoing,
@@ -113,7 +113,7 @@
                 self.agents.insert(session, outgoing);
                 self.handle(GatewayEvent::AgentOpened { session, remote });
             }
-            Input::PeerOpened {
+            DriverInput::PeerOpened {
                 session,
                 remote,
                 outgoing,
@@ -121,15 +121,17 @@
                 self.peers.insert(session, outgoing);
                 self.handle(GatewayEvent::PeerOpened { session, remote });
             }
-            Input::Status(reply) => {
+            DriverInput::Status(reply) => {
                 let _ = reply.send(self.machine.status(self.clock.now()));
             }
-            Input::InForce(reply) => {
+            DriverInput::InForce(reply) => {
                 let revision = self.machine.revision();
                 let _ = reply.send(revision.map(|revision| revision.as_ref().clone()));
             }
-            Input::Stop => {
-                log::info!("planned stop: refusing new jobs, finishing those in flight");
+            DriverInput::Stop => {
+                log::info!(
+                    "graceful shutdown started: refusing new jobs, finishing those in flight"
+                );
                 self.handle(GatewayEvent::Stop);
             }
         }
@@ -145,7 +147,7 @@
             .handle(self.clock.now(), event, &mut self.effects);
     }
 
-    fn carry_out(&mut self) {
+    fn execute_effects(&mut self) {
         for effect in std::mem::take(&mut self.effects) {
             match effect {
                 GatewayEffect::ToAgent { session, message } => {
@@ -166,10 +168,10 @@
                 }
                 GatewayEffect::Answer(answer) => self.answer(answer),
                 GatewayEffect::Claim(claim) => {
-                    let _ = self.claims.send(ClaimCall::Claim(claim));
+                    let _ = self.claims.send(ClaimCommand::Claim(claim));
                 }
                 GatewayEffect::ReleaseClaim(claim) => {
-                    let _ = self.claims.send(ClaimCall::Release(claim));
+                    let _ = self.claims.send(ClaimCommand::Release(claim));
                 }
                 GatewayEffect::InForce(revision) => {
                     log::info!(revision = revision.number; "configuration in force");
@@ -179,7 +181,7 @@
                     });
                     self.dialer.configure(&revision.configuration);
                 }
-                GatewayEffect::Stopped => self.stopped = true,
+                GatewayEffect::Stopped => self.is_stopped = true,
             }
         }
     }
@@ -202,7 +204,7 @@
             tenant:% = answer.tenant,
             elapsed_micros = answer.elapsed.0,
             outcome = outcome;
-            "final answer"
+            "submission ended"
         );
         if let Err(failure) = &answer.outcome {
             log::info!(
@@ -210,10 +212,10 @@
                 tenant:% = answer.tenant,
                 reason:? = failure.reason,
                 run_state:? = failure.run_state;
-                "no answer"
+                "submission failed"
             );
         }
-        if let Some(reply) = self.waiting.remove(&answer.submission.number) {
+        if let Some(reply) = self.pending_replies.remove(&answer.submission.number) {
             let _ = reply.send(answer);
         }
     }
@@ -228,7 +230,7 @@
     }
 }
 
-fn observe(event: &GatewayEvent) {
+fn record_run_times(event: &GatewayEvent) {
     let GatewayEvent::AgentMessage { message, .. } = event else {
         return;
     };
--- a/laurelstiled/src/gateway/input.rs
+++ b/laurelstiled/src/gateway/input.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway are told.
+//! Inputs of the tasks of a gateway.
 
 use laurelstile_core::gateway::{Answer, ClaimRequest, GatewayEvent, JobRequest};
 use laurelstile_core::messages::agent::ToAgent;
@@ -8,51 +8,51 @@
 use laurelstile_types::revision::Revision;
 use tokio::sync::{mpsc, oneshot};
 
-/// What the driver's task is told.
+/// Input of the driver.
 #[derive(Debug)]
-pub enum Input {
-    /// Something for the machine.
+pub enum DriverInput {
+    /// An event for the state machine.
     Event(GatewayEvent),
-    /// A caller's job.
+    /// A caller submits a job.
     Submit {
-        /// Number of the submission.
+        /// Number of the submission, unique in this process.
         number: u64,
-        /// The job.
+        /// The job as submitted.
         request: JobRequest,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<Box<Answer>>,
     },
-    /// A session to an agent is open.
+    /// A session to an agent was opened.
     AgentOpened {
-        /// The session.
+        /// Identifier of the session in this process.
         session: SessionId,
-        /// The agent.
+        /// Identity of the agent.
         remote: Remote,
-        /// Where its messages go.
+        /// Queue of messages to the agent; dropping it closes the session.
         outgoing: mpsc::UnboundedSender<ToAgent>,
     },
-    /// A session to a peer is open.
+    /// A session to a peer gateway was opened.
     PeerOpened {
-        /// The session.
+        /// Identifier of the session in this process.
         session: SessionId,
-        /// The peer.
+        /// Identity of the peer.
         remote: Remote,
-        /// Where its messages go.
+        /// Queue of messages to the peer; dropping it closes the session.
         outgoing: mpsc::UnboundedSender<ToPeer>,
     },
-    /// An operator asks for the status.
+    /// The status is requested, by an operator or the readiness probe.
     Status(oneshot::Sender<Status>),
-    /// An operator asks for the configuration in force.
+    /// An operator requests the configuration in force; `None` if there is none yet.
     InForce(oneshot::Sender<Option<Revision>>),
-    /// A planned stop.
+    /// Begin a graceful shutdown.
     Stop,
 }
 
-/// What the claims' task is asked to do.
+/// Command to the task that writes claims to the platform.
 #[derive(Debug)]
-pub enum ClaimCall {
-    /// Claim a key.
+pub enum ClaimCommand {
+    /// Claim an idempotency key.
     Claim(ClaimRequest),
-    /// Give a claim back.
+    /// Release a claimed key.
     Release(ClaimRequest),
 }
--- a/laurelstiled/src/gateway/mesh.rs
+++ b/laurelstiled/src/gateway/mesh.rs
@@ -1,5 +1,4 @@
-//! Sessions between gateways. Of two gateways the one whose name sorts first
-//! dials.
+//! Sessions between gateways. Of each pair, the gateway whose name sorts first dials.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,42 +15,42 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use super::dial::Dialing;
-use super::input::Input;
+use super::dial::DialContext;
+use super::input::DriverInput;
 use crate::session::next_session;
 use crate::settings::PeerSettings;
 use crate::telemetry::SESSION_ERRORS;
 
-/// Pause between two dials of a peer.
-const REDIAL_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before a peer is redialed, or a failed accept is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Takes sessions of peers in.
+/// Accepts sessions of peers.
 pub async fn accept_peers(
     listener: TcpListener,
     local: LocalNode,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
 ) {
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            tokio::time::sleep(REDIAL_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         let (local, input) = (local.clone(), input.clone());
         tokio::spawn(async move {
             let error = match session::accept(stream, &local, NodeRole::Gateway).await {
-                Ok((socket, remote)) => hold(socket, remote, &input).await,
+                Ok((socket, remote)) => run_session(socket, remote, &input).await,
                 Err(error) => error,
             };
-            note_end(&error, &address.to_string());
+            record_session_end(&error, &address.to_string());
         });
     }
 }
 
-/// Dials the peers of the settings and of the machine list.
+/// Dials the peers in the settings and in the machine list.
 pub async fn dial_peers(
     seeds: Vec<PeerSettings>,
     mut machines: watch::Receiver<Arc<MachineList>>,
-    dialing: Dialing,
+    context: DialContext,
 ) {
     let mut dialed: BTreeMap<String, (SocketAddr, tokio::task::JoinHandle<()>)> = BTreeMap::new();
     loop {
@@ -59,10 +58,10 @@
         wanted.extend(listed_gateways(&machines.borrow_and_update()));
         for peer in wanted {
             let known = dialed.get(&peer.name).map(|(address, _)| *address);
-            if peer.name <= dialing.local.name || known == Some(peer.address) {
+            if peer.name <= context.local.name || known == Some(peer.address) {
                 continue;
             }
-            let session = tokio::spawn(keep_session(peer.clone(), dialing.clone()));
+            let session = tokio::spawn(maintain_session(peer.clone(), context.clone()));
             if let Some((_, old)) = dialed.insert(peer.name, (peer.address, session)) {
                 old.abort();
             }
@@ -87,39 +86,46 @@
         .collect()
 }
 
-async fn keep_session(peer: PeerSettings, dialing: Dialing) {
-    let Dialing {
+async fn maintain_session(peer: PeerSettings, context: DialContext) {
+    let DialContext {
         local,
         source,
         input,
-    } = dialing;
+    } = context;
     while !input.is_closed() {
         let error = match session::dial(peer.address, source, &local, NodeRole::Gateway).await {
-            Ok((socket, remote)) => hold(socket, remote, &input).await,
+            Ok((socket, remote)) => run_session(socket, remote, &input).await,
             Err(error) => error,
         };
-        note_end(&error, &peer.name);
-        tokio::time::sleep(REDIAL_PAUSE).await;
+        record_session_end(&error, &peer.name);
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn hold(socket: Socket, remote: Remote, input: &mpsc::UnboundedSender<Input>) -> WireError {
+async fn run_session(
+    socket: Socket,
+    remote: Remote,
+    input: &mpsc::UnboundedSender<DriverInput>,
+) -> WireError {
     let session = next_session();
     let (outgoing, messages) = mpsc::unbounded_channel();
-    let _ = input.send(Input::PeerOpened {
+    let _ = input.send(DriverInput::PeerOpened {
         session,
         remote,
         outgoing,
     });
     let error = session::run(socket, messages, |message| {
-        let _ = input.send(Input::Event(GatewayEvent::PeerMessage { session, message }));
+        let _ = input.send(DriverInput::Event(GatewayEvent::PeerMessage {
+            session,
+            message,
+        }));
     })
     .await;
-    let _ = input.send(Input::Event(GatewayEvent::PeerClosed { session }));
+    let _ = input.send(DriverInput::Event(GatewayEvent::PeerClosed { session }));
     error
 }
 
-fn note_end(error: &WireError, peer: &str) {
+fn record_session_end(error: &WireError, peer: &str) {
     if matches!(error, WireError::Refused) {
         return;
     }
--- a/laurelstiled/src/gateway/mod.rs
+++ b/laurelstiled/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway role: one task drives the gateway's machine; others serve
-//! callers, hold sessions, and talk to the platform.
+//! Runs a gateway process: one task drives the state machine, others serve callers, hold sessions
+//! and call the platform.
 
 pub mod api;
 mod dial;
@@ -25,15 +25,15 @@
 use crate::settings::{GatewaySettings, Node};
 use crate::telemetry;
 use driver::Driver;
-use input::Input;
+use input::DriverInput;
 
-/// How long answers may take to leave once nothing is in flight any more.
-const LAST_ANSWERS: std::time::Duration = std::time::Duration::from_millis(300);
+/// Time for the last answers to be written once no job is in flight.
+const ANSWER_FLUSH_DELAY: std::time::Duration = std::time::Duration::from_millis(300);
 
-/// Runs a gateway until it has stopped in a planned way.
+/// Runs a gateway until its graceful shutdown has finished.
 ///
 /// # Errors
-/// [`DaemonError`] if it cannot start.
+/// [`DaemonError`] if the gateway cannot start.
 pub async fn run(node: Node, settings: GatewaySettings) -> Result<(), DaemonError> {
     let metrics = telemetry::install()?;
     let clock = Clock::start();
@@ -43,7 +43,7 @@
     let platform = HttpPlatform::new(settings.platform.clone());
     let (input, inputs) = mpsc::unbounded_channel();
 
-    let dialing = dial::Dialing {
+    let dial_context = dial::DialContext {
         local: local.clone(),
         source: settings.source,
         input: input.clone(),
@@ -54,7 +54,7 @@
     tokio::spawn(mesh::dial_peers(
         settings.peers.clone(),
         machine_list,
-        dialing.clone(),
+        dial_context.clone(),
     ));
     platform::start_polling(&settings, platform.clone(), input.clone(), machines);
     let claims = platform::start_claims(platform.clone(), input.clone(), history.clone());
@@ -72,13 +72,13 @@
         zone: node.zone.clone(),
     };
     let machine = Gateway::new(identity);
-    let dialer = dial::AgentDialer::new(dialing);
+    let dialer = dial::AgentDialer::new(dial_context);
     Driver::new(clock, machine, dialer, claims, history)
         .run(inputs)
         .await;
-    tokio::time::sleep(LAST_ANSWERS).await;
-    // The server may hold idle connections open; every answer has left.
-    let _ = tokio::time::timeout(LAST_ANSWERS, server.close()).await;
+    tokio::time::sleep(ANSWER_FLUSH_DELAY).await;
+    // Idle connections may keep the server from closing; all answers have been sent by now.
+    let _ = tokio::time::timeout(ANSWER_FLUSH_DELAY, server.close()).await;
     log::info!(gateway = node.name.as_str(); "gateway stopped");
     Ok(())
 }
@@ -106,11 +106,11 @@
         .map_err(|source| DaemonError::Listen { address, source })
 }
 
-fn stop_on_signal(input: mpsc::UnboundedSender<Input>) -> Result<(), DaemonError> {
+fn stop_on_signal(input: mpsc::UnboundedSender<DriverInput>) -> Result<(), DaemonError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(DaemonError::Signals)?;
     tokio::spawn(async move {
         terminate.recv().await;
-        let _ = input.send(Input::Stop);
+        let _ = input.send(DriverInput::Stop);
     });
     Ok(())
 }
--- a/laurelstiled/src/gateway/platform.rs
+++ b/laurelstiled/src/gateway/platform.rs
@@ -1,5 +1,5 @@
-//! The gateway's dealings with the platform: polling the configuration log
-//! and the machine list, and claims.
+//! Calls of the gateway to the platform: polls of the configuration log and the machine list, and
+//! claims of idempotency keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,25 @@
 use metrics::counter;
 use tokio::sync::{mpsc, watch};
 
-use super::input::{ClaimCall, Input};
+use super::input::{ClaimCommand, DriverInput};
 use crate::settings::GatewaySettings;
 use crate::telemetry::PLATFORM_ERRORS;
 
-/// How long claims wait for one another before a group is written.
-const CLAIM_GATHERING: Duration = Duration::from_millis(20);
-/// Most claims in one transaction.
-const CLAIM_GROUP: usize = 128;
-/// Pause before a failed release is tried again.
-const RELEASE_PAUSE: Duration = Duration::from_secs(1);
-/// How often a release is tried. A claim that stays costs its key, no safety.
-const RELEASE_TRIES: u32 = 120;
+/// Pause between batches, in which claims collect to be written in one transaction.
+const CLAIM_BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of claims in one transaction.
+const MAX_CLAIM_BATCH: usize = 128;
+/// Delay before a failed release is retried.
+const RELEASE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of attempts to release claims. A claim that is never released blocks its key,
+/// but does no other harm.
+const MAX_RELEASE_ATTEMPTS: u32 = 120;
 
-/// Starts the polls.
+/// Starts polling the configuration log and the machine list.
 pub fn start_polling(
     settings: &GatewaySettings,
     platform: HttpPlatform,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     machines: watch::Sender<Arc<MachineList>>,
 ) {
     tokio::spawn(poll_configuration(
@@ -47,7 +48,7 @@
 async fn poll_configuration(
     platform: HttpPlatform,
     interval: Duration,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
 ) {
     let mut known = 0;
     while !input.is_closed() {
@@ -55,10 +56,10 @@
             Ok(Some(revision)) => {
                 known = revision.number;
                 let event = GatewayEvent::Revision(Arc::new(revision));
-                let _ = input.send(Input::Event(event));
+                let _ = input.send(DriverInput::Event(event));
             }
             Ok(None) => {}
-            Err(error) => note_error("configuration", &error),
+            Err(error) => record_error("configuration", &error),
         }
         tokio::time::sleep(interval).await;
     }
@@ -66,10 +67,10 @@
 
 async fn read_newer(
     platform: &HttpPlatform,
-    known: u64,
+    known_head: u64,
 ) -> Result<Option<laurelstile_types::revision::Revision>, HttpError> {
     let head = read_head(platform).await?;
-    if head <= known {
+    if head <= known_head {
         return Ok(None);
     }
     read_revision(platform, head).await
@@ -78,63 +79,64 @@
 async fn poll_machines(
     platform: HttpPlatform,
     interval: Duration,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     machines: watch::Sender<Arc<MachineList>>,
 ) {
     while !input.is_closed() {
         match platform.machines().await {
             Ok(list) => {
                 let event = GatewayEvent::Machines(list.clone());
-                let _ = input.send(Input::Event(event));
+                let _ = input.send(DriverInput::Event(event));
                 machines.send_replace(Arc::new(list));
             }
-            Err(error) => note_error("machines", &error),
+            Err(error) => record_error("machines", &error),
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Starts the task that writes claims in groups.
+/// Starts the task that writes claims and releases in batches, and returns its command queue.
 pub fn start_claims(
     platform: HttpPlatform,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     history: HistoryWriter,
-) -> mpsc::UnboundedSender<ClaimCall> {
-    let (calls, mut receiver) = mpsc::unbounded_channel();
+) -> mpsc::UnboundedSender<ClaimCommand> {
+    let (commands, mut receiver) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut batch = Vec::new();
-        while receiver.recv_many(&mut batch, CLAIM_GROUP).await > 0 {
+        while receiver.recv_many(&mut batch, MAX_CLAIM_BATCH).await > 0 {
             let mut claims = Vec::new();
             let mut releases = Vec::new();
-            for call in batch.drain(..) {
-                match call {
-                    ClaimCall::Claim(request) => claims.push(claim_of(request)),
-                    ClaimCall::Release(request) => releases.push(claim_of(request)),
+            for command in batch.drain(..) {
+                match command {
+                    ClaimCommand::Claim(request) => claims.push(to_claim(request)),
+                    ClaimCommand::Release(request) => releases.push(to_claim(request)),
                 }
             }
             if !releases.is_empty() {
                 let (platform, history) = (platform.clone(), history.clone());
-                tokio::spawn(release_until_done(platform, releases, history));
+                tokio::spawn(release_with_retries(platform, releases, history));
             }
             if !claims.is_empty() {
-                let group = claim_group(platform.clone(), claims, input.clone(), history.clone());
-                tokio::spawn(group);
+                let writing =
+                    write_claims(platform.clone(), claims, input.clone(), history.clone());
+                tokio::spawn(writing);
             }
-            tokio::time::sleep(CLAIM_GATHERING).await;
+            tokio::time::sleep(CLAIM_BATCH_DELAY).await;
         }
     });
-    calls
+    commands
 }
 
-async fn claim_group(
+async fn write_claims(
     platform: HttpPlatform,
     claims: Vec<Claim>,
-    input: mpsc::UnboundedSender<Input>,
+    input: mpsc::UnboundedSender<DriverInput>,
     history: HistoryWriter,
 ) {
     for claim in &claims {
         history.record(Event::ClaimRequested {
-            claim: name_of(claim),
+            claim: claim_path(claim),
             submission: claim.submission.to_string(),
         });
     }
@@ -147,7 +149,7 @@
         };
         if fate != ClaimFate::Unavailable {
             history.record(Event::ClaimDecided {
-                claim: name_of(&claim),
+                claim: claim_path(&claim),
                 submission: claim.submission.to_string(),
                 granted: fate == ClaimFate::Granted,
             });
@@ -156,35 +158,35 @@
             submission: claim.submission,
             outcome,
         };
-        let _ = input.send(Input::Event(event));
+        let _ = input.send(DriverInput::Event(event));
     }
 }
 
-async fn release_until_done(platform: HttpPlatform, claims: Vec<Claim>, history: HistoryWriter) {
+async fn release_with_retries(platform: HttpPlatform, claims: Vec<Claim>, history: HistoryWriter) {
     for claim in &claims {
         history.record(Event::ReleaseRequested {
-            claim: name_of(claim),
+            claim: claim_path(claim),
             submission: claim.submission.to_string(),
         });
     }
-    for _ in 0..RELEASE_TRIES {
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
         match release_all(&platform, &claims).await {
             Ok(()) => {
                 for claim in &claims {
                     history.record(Event::ReleaseDone {
-                        claim: name_of(claim),
+                        claim: claim_path(claim),
                         submission: claim.submission.to_string(),
                     });
                 }
                 return;
             }
-            Err(error) => note_error("release", &error),
+            Err(error) => record_error("release", &error),
         }
-        tokio::time::sleep(RELEASE_PAUSE).await;
+        tokio::time::sleep(RELEASE_RETRY_DELAY).await;
     }
 }
 
-fn claim_of(request: ClaimRequest) -> Claim {
+fn to_claim(request: ClaimRequest) -> Claim {
     Claim {
         service: request.service,
         tenant: request.tenant,
@@ -193,11 +195,11 @@
     }
 }
 
-fn name_of(claim: &Claim) -> String {
+fn claim_path(claim: &Claim) -> String {
     format!("{}/{}/{}", claim.tenant, claim.service, claim.key)
 }
 
-fn note_error(call: &'static str, error: &HttpError) {
+fn record_error(call: &'static str, error: &HttpError) {
     counter!(PLATFORM_ERRORS, "call" => call).increment(1);
-    log::warn!(call = call, error:% = error; "the platform did not answer");
+    log::warn!(call = call, error:% = error; "call to the platform failed");
 }
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -14,9 +14,9 @@
 
 use super::ports::HeartbeatError;
 use crate::telemetry::{
-    CAME_BACK, CONTAINED_QUEUES, EVACUATED_ZONES, HEARTBEATS_IGNORED, JOB_SECONDS,
-    JOB_STAGE_SECONDS, JOBS_ANSWERED, KNOWN_GATEWAYS, OFFERS, OFFERS_EXPIRED, ROOM_AGED,
-    RUN_TIME_RATIO, RUNS_ENDED, RUNS_STOPPED, SILENT_NEIGHBORS, STARTS_HELD, STOPS_UNANSWERED,
+    CAPACITY_EXPIRED, CONTAINED_QUEUES, EVACUATED_ZONES, HEARTBEATS_IGNORED, JOB_SECONDS,
+    JOB_STAGE_SECONDS, JOBS_ANSWERED, KNOWN_GATEWAYS, OFFERS, OFFERS_EXPIRED, RUN_TIME_RATIO,
+    RUNS_ENDED, RUNS_STOPPED, SILENT_NEIGHBORS, STARTS_HELD, STOPS_UNANSWERED, TASKS_RETURNED,
     TASKS_SUSPECTED, WORKER_CRASHES, WORKER_SILENT,
 };
 
@@ -329,7 +329,7 @@
             counter!(TASKS_SUSPECTED, "standing" => standing).increment(1);
         }
         GatewayDecision::CameBack { how, .. } => {
-            counter!(CAME_BACK, "how" => how.name()).increment(1);
+            counter!(TASKS_RETURNED, "how" => how.name()).increment(1);
         }
         _ => {}
     }
@@ -360,7 +360,7 @@
             counter!(STOPS_UNANSWERED, "reason" => *reason).increment(1);
         }
         AgentDecision::WorkerSilent { .. } => counter!(WORKER_SILENT).increment(1),
-        AgentDecision::RoomAged { .. } => counter!(ROOM_AGED).increment(1),
+        AgentDecision::RoomAged { .. } => counter!(CAPACITY_EXPIRED).increment(1),
         AgentDecision::HeartbeatIgnored { reason, .. } => {
             counter!(HEARTBEATS_IGNORED, "reason" => reason.name()).increment(1);
         }
--- a/laurelstiled/src/lib.rs
+++ b/laurelstiled/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laurelstile daemon: wires the machines of `laurelstile-core` to
-//! sockets, the platform, back ends and callers.
+//! The laurelstile daemon: connects the state machines of `laurelstile-core` to sockets, the
+//! platform, back ends and callers.
 #![deny(warnings)]
 #![forbid(unsafe_code)]
 
--- a/laurelstiled/src/logging.rs
+++ b/laurelstiled/src/logging.rs
@@ -1,5 +1,4 @@
-//! Logs as JSON lines: on standard error, or on standard output without ever
-//! blocking.
+//! Logging as JSON lines, to standard error or to non-blocking standard output.
 
 use logforth::Append;
 use logforth::append::Stderr;
@@ -18,7 +17,7 @@
     start_with(level, Stderr::default().with_layout(JsonLayout::default()))
 }
 
-/// Starts logging to standard output, without ever blocking.
+/// Starts logging to standard output. Lines that would block are dropped.
 ///
 /// # Errors
 /// [`DaemonError::Logger`] if a logger is installed already.
@@ -27,7 +26,7 @@
 }
 
 fn start_with(level: LogLevel, output: impl Into<Box<dyn Append>>) -> Result<(), DaemonError> {
-    let least = match level {
+    let min_level = match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warn => Level::Warn,
         LogLevel::Info => Level::Info,
@@ -36,12 +35,12 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
             dispatch
-                .filter(LevelFilter::MoreSevereEqual(least))
+                .filter(LevelFilter::MoreSevereEqual(min_level))
                 .append(output)
         })
         .try_apply()
         .map_err(|_| DaemonError::Logger)?;
-    // Without this every trace line of a library would be formatted first.
+    // Otherwise trace lines of libraries would be formatted before the filter drops them.
     log::set_max_level(match level {
         LogLevel::Error => log::LevelFilter::Error,
         LogLevel::Warn => log::LevelFilter::Warn,
--- a/laurelstiled/src/process.rs
+++ b/laurelstiled/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the daemon, from its settings file to its end.
+//! Runs a daemon process: reads the settings, and starts the role that they name.
 
 use std::path::Path;
 
@@ -10,26 +10,26 @@
 use crate::settings::{Role, Settings, SettingsError};
 use crate::{agent, gateway, logging};
 
-/// Why the process ended other than by a planned stop.
+/// Why the process ended otherwise than by a graceful shutdown.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ProcessError {
     /// The settings file could not be read.
     #[error(transparent)]
     #[diagnostic(transparent)]
     File(#[from] JsonFileError),
-    /// The settings are wrong.
-    #[error("the settings are wrong")]
+    /// The settings are invalid.
+    #[error("invalid settings")]
     Settings(#[from] SettingsError),
-    /// The daemon failed.
+    /// The role could not be started, or failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Daemon(#[from] DaemonError),
 }
 
-/// Runs the process that the settings file describes, until a planned stop.
+/// Runs the process that the settings file describes, until its graceful shutdown has finished.
 ///
 /// # Errors
-/// [`ProcessError`].
+/// [`ProcessError`] if the settings are invalid or the process cannot start.
 pub fn run(settings: &Path) -> Result<(), ProcessError> {
     let settings: Settings = read_json_file(settings)?;
     settings.check()?;
@@ -39,8 +39,8 @@
     Ok(())
 }
 
-/// One thread runs everything without waking another, which is what keeps the
-/// latency of the many hops between a node's tasks low.
+/// With one thread, tasks of the process wake each other without switching threads, which keeps
+/// latency low.
 fn build_runtime(threads: usize) -> std::io::Result<tokio::runtime::Runtime> {
     let mut builder = if threads == 1 {
         tokio::runtime::Builder::new_current_thread()
--- a/laurelstiled/src/settings.rs
+++ b/laurelstiled/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, from its JSON file.
+//! Settings of a daemon process, read from a JSON file.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -8,47 +8,49 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Shortest shared secret that is taken, in bytes.
+/// Minimum length of the shared secret, in bytes.
 pub(crate) const MIN_SECRET_BYTES: usize = 16;
 
 /// Settings of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who the process is.
+    /// Identity of the process.
     pub node: Node,
-    /// Least severe level that is logged.
+    /// Minimum severity of log lines.
     #[serde(default)]
     pub log_level: LogLevel,
-    /// Threads that run the process.
+    /// Number of runtime threads; at least 1.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// What the process does.
+    /// Role of the process, with the settings of that role.
     pub role: Role,
 }
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Name of the gateway, or of the back end that the agent stands beside.
+    /// Name of the gateway, or of the agent's back end.
     pub name: String,
-    /// Its zone.
+    /// Zone in which the process runs.
     pub zone: ZoneName,
-    /// Secret that all processes of the installation share.
+    /// Secret shared by all processes of the installation; at least
+    /// `MIN_SECRET_BYTES` long.
     pub secret: String,
-    /// File to append a history to; for proofs, not for production.
+    /// File to which the history of events is appended; for consistency checks, not for
+    /// production.
     #[serde(default)]
     pub history: Option<PathBuf>,
 }
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It is a gateway.
+    /// Accepts jobs and dispatches their tasks.
     Gateway(GatewaySettings),
-    /// It is an agent.
+    /// Runs tasks on one back end.
     Agent(AgentSettings),
 }
 
@@ -56,40 +58,39 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Where callers and operators connect.
+    /// Address of the HTTP API for callers and operators.
     pub api: SocketAddr,
-    /// Where other gateways connect.
+    /// Address on which sessions of other gateways are accepted.
     pub mesh: SocketAddr,
-    /// Local address that sessions to agents and peers are dialed from, on a
-    /// machine with several.
+    /// Local address from which sessions to agents and peers are dialed; `None` leaves the choice
+    /// to the system.
     #[serde(default)]
     pub source: Option<IpAddr>,
-    /// Other gateways that are known from the start. More are learned from
-    /// the machine list.
+    /// Gateways known at the start; others are taken from the machine list.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
     /// Base address of the platform, such as `http://10.0.0.1:80`.
     pub platform: String,
-    /// Token that operator calls must carry.
+    /// Bearer token required for operator calls.
     pub operator_token: String,
     /// Largest request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
-    /// How often the head of the configuration log is read, in milliseconds.
+    /// Interval at which the head of the configuration log is read, in milliseconds.
     #[serde(default = "default_configuration_poll_millis")]
     pub configuration_poll_millis: u64,
-    /// How often the machine list is read, in milliseconds.
+    /// Interval at which the machine list is read, in milliseconds.
     #[serde(default = "default_machines_poll_millis")]
     pub machines_poll_millis: u64,
 }
 
-/// Another gateway.
+/// A peer gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its mesh address.
+    /// Address on which it accepts sessions of other gateways.
     pub address: SocketAddr,
 }
 
@@ -97,30 +98,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Where gateways connect.
+    /// Address on which sessions of gateways are accepted.
     pub listen: SocketAddr,
-    /// Where metrics and health are served.
+    /// Address of the HTTP server for metrics and health.
     pub metrics: SocketAddr,
     /// Base address of the back end, such as `http://127.0.0.1:9000`.
     pub backend: String,
 }
 
-/// Least severe level that is logged.
+/// Minimum severity of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Errors only.
+    /// Only errors.
     Error,
-    /// Warnings and worse.
+    /// Warnings and errors.
     Warn,
-    /// What operators want to read.
+    /// Also events of interest to operators.
     #[default]
     Info,
-    /// Every submission and dispatch.
+    /// Also every submission and dispatch.
     Debug,
 }
 
-/// What is wrong with settings that are well-formed JSON.
+/// Why settings that are well-formed JSON were rejected.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
     /// The shared secret is too short.
@@ -129,33 +130,33 @@
     /// The name of the node is empty.
     #[error("node.name: empty")]
     EmptyName,
-    /// No thread is to run the process.
+    /// The number of threads is zero.
     #[error("threads: must be at least 1")]
     NoThreads,
     /// The operator token is empty.
     #[error("role.gateway.operator_token: empty")]
     EmptyToken,
     /// An address is not an absolute `http://` URI.
-    #[error("{place}: {value:?} is not an http:// address")]
+    #[error("{field}: {value:?} is not an http:// address")]
     BadAddress {
-        /// Path of the field.
-        place: &'static str,
-        /// Its value.
+        /// Path of the field in the settings.
+        field: &'static str,
+        /// Value from the settings.
         value: String,
     },
     /// An interval is zero.
-    #[error("{place}: must be at least 1")]
+    #[error("{field}: must be at least 1")]
     ZeroInterval {
-        /// Path of the field.
-        place: &'static str,
+        /// Path of the field in the settings.
+        field: &'static str,
     },
 }
 
 impl Settings {
-    /// Checks what the types alone do not.
+    /// Checks the values that the types do not constrain.
     ///
     /// # Errors
-    /// The first fault found, with its place.
+    /// The first invalid field found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.node.name.is_empty() {
             return Err(SettingsError::EmptyName);
@@ -190,26 +191,25 @@
     }
 }
 
-fn check_interval(place: &'static str, millis: u64) -> Result<(), SettingsError> {
+fn check_interval(field: &'static str, millis: u64) -> Result<(), SettingsError> {
     if millis == 0 {
-        return Err(SettingsError::ZeroInterval { place });
+        return Err(SettingsError::ZeroInterval { field });
     }
     Ok(())
 }
 
-fn check_address(place: &'static str, value: &str) -> Result<(), SettingsError> {
+fn check_address(field: &'static str, value: &str) -> Result<(), SettingsError> {
     let parsed: Option<http::Uri> = value.parse().ok();
-    let well_formed = parsed.is_some_and(|uri| uri.scheme_str() == Some("http"));
-    if well_formed {
+    let is_http = parsed.is_some_and(|uri| uri.scheme_str() == Some("http"));
+    if is_http {
         return Ok(());
     }
     Err(SettingsError::BadAddress {
-        place,
+        field,
         value: value.to_owned(),
     })
 }
 
-/// One thread gave the lowest latency (docs/BENCH.md).
 fn default_threads() -> usize {
     1
 }
