--- a/laurelstiled/src/agent/http.rs
+++ b/laurelstiled/src/agent/http.rs
@@ -42,7 +42,7 @@
     Ok(api)
 }
 
-/// Liveness probe: always succeeds while the process runs.
+/// Liveness probe: succeeds while the process runs.
 #[endpoint { method = GET, path = "/health/live" }]
 async fn read_liveness(
     _request: RequestContext<PrometheusHandle>,
--- a/laurelstiled/src/gateway/api.rs
+++ b/laurelstiled/src/gateway/api.rs
@@ -208,10 +208,10 @@
     }
 }
 
-/// Submit a job and wait for its whole answer.
+/// Submit a job and wait for its complete answer.
 ///
-/// Every refusal and failure says in `run_state` whether the job may have run,
-/// and carries `Retry-After` where the caller may come back.
+/// Every refusal and failure states in `run_state` whether the job may have run, and carries
+/// `Retry-After` if the caller may retry.
 #[endpoint { method = POST, path = "/v1/services/{service}/jobs" }]
 async fn submit_job(
     request: RequestContext<Context>,
@@ -341,8 +341,7 @@
     }
 }
 
-/// Have a change of the configuration accepted: a whole file, a drain, or the
-/// stop of a service.
+/// Submit a change: a complete configuration, a drain, or the stop of a service.
 #[endpoint { method = POST, path = "/v1/operator/changes" }]
 async fn submit_change(
     request: RequestContext<Context>,
@@ -393,7 +392,7 @@
     }
 }
 
-/// What this gateway knows of itself, its peers and the agents.
+/// Status of this gateway, its peers and the agents, as known to this gateway.
 #[endpoint { method = GET, path = "/v1/operator/status" }]
 async fn read_status(
     request: RequestContext<Context>,
@@ -413,7 +412,7 @@
     Ok(HttpResponseOk(InForce { revision }))
 }
 
-/// Whether the process lives.
+/// Liveness probe: succeeds while the process runs.
 #[endpoint { method = GET, path = "/health/live" }]
 async fn read_liveness(
     _request: RequestContext<Context>,
@@ -421,7 +420,7 @@
     Ok(HttpResponseOk(Health { ok: true }))
 }
 
-/// Whether the gateway takes new jobs; the balancer asks this.
+/// Readiness probe for load balancers: succeeds while the gateway accepts new jobs.
 #[endpoint { method = GET, path = "/health/ready" }]
 async fn read_readiness(
     request: RequestContext<Context>,
@@ -433,16 +432,16 @@
     Err(not_ready())
 }
 
-/// Metrics in Prometheus's text format.
+/// Metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn read_metrics(request: RequestContext<Context>) -> Result<Response<Body>, HttpError> {
     metrics_response(&request.context().metrics)
 }
 
-/// Answer of the health checks.
+/// Body of a successful health check.
 #[derive(Debug, Serialize, JsonSchema)]
 pub struct Health {
-    /// Always true; other states are errors.
+    /// Always true; a failed check is reported by the HTTP status.
     pub ok: bool,
 }
 
