--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -5,9 +5,9 @@
 use laurelstile_types::time::{Span, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use super::super::life_name::LifeName;
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
 
 /// A reading of the worker's own steady clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Which life of the worker speaks.
-    pub life: LifeName,
+    pub life: WorkerIncarnation,
     /// The service that it serves.
     pub service: String,
     /// Its room.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<String>,
     /// Its clock.
@@ -165,7 +165,7 @@
 
     /// What the worker's clock reads at `now` at least, however slow it may be. A lease that is
     /// counted from this is over in time: counted from [`Self::at`], with a reading 1 s old, it
-    /// lasted up to 20 ms longer than [`super::super::timing::LEASE_AT_MOST`].
+    /// lasted up to 20 ms longer than [`super::super::timing::MAX_LEASE_DURATION`].
     pub fn at_least(&self, now: Timestamp) -> WorkerClock {
         let since = now.since(self.taken).0 * SLOWEST_CLOCK_PERCENT / 100_000;
         let before = self.taken.since(now).0.div_ceil(1_000);
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -9,7 +9,7 @@
 use laurelstile_core::leased::membership::digest::Digest;
 use laurelstile_core::leased::membership::directory::Directory;
 use laurelstile_core::leased::membership::page::{Page, record_key};
-use laurelstile_core::leased::messages::{Introduction, Member, Sought, ToPeer};
+use laurelstile_core::leased::messages::{CandidateSummary, Introduction, Member, ToPeer};
 use laurelstile_core::leased::task::JobId;
 use laurelstile_core::session::SessionId;
 use laurelstile_types::time::{Span, Timestamp};
@@ -249,11 +249,11 @@
     rig.open_peer(at(1), session);
     let introduction = Introduction::new(&member(1), Directory::new(member(9)).digest());
     let message = ToPeer::Introduction(introduction);
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     for millis in (10..30_000).step_by(100) {
         rig.tick(at(millis));
         let message = ToPeer::Members(Vec::new());
-        rig.hear_peer(at(millis), session, message);
+        rig.peer_message(at(millis), session, message);
     }
     let asked = rig.to_peers.iter();
     let asked = asked.filter(|(_, message)| matches!(message, ToPeer::MembersWanted(_)));
@@ -270,9 +270,9 @@
         ..Introduction::new(&member(1), Digest::default())
     };
     let message = ToPeer::Introduction(introduction);
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     let message = ToPeer::Members(vec![member(2), member(3)]);
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     rig.pass_time(100, 5_000);
     let is_old =
         |message: &ToPeer| !matches!(message, ToPeer::Digest(_) | ToPeer::MembersWanted(_));
@@ -314,7 +314,7 @@
 #[test]
 fn a_member_of_which_only_peers_told_expires_with_the_list() {
     let mut directory = Directory::new(member(0));
-    directory.hear(at(0), vec![member(1), member(2)]);
+    directory.add_claimed(at(0), vec![member(1), member(2)]);
     directory.read_page(at(8_000), page(vec![member(1)]));
     assert_eq!(
         known(&directory),
@@ -350,12 +350,12 @@
         ..member(1)
     };
     let mut directory = Directory::new(member(0));
-    directory.hear(at(0), vec![member(1)]);
-    directory.hear(at(1), vec![moved.clone()]);
+    directory.add_claimed(at(0), vec![member(1)]);
+    directory.add_claimed(at(1), vec![moved.clone()]);
     assert_eq!(known(&directory), ["1", "2", "900"]);
-    directory.meet(SessionId(1), &moved);
+    directory.on_session_opened(SessionId(1), &moved);
     assert_eq!(known(&directory), ["1", "900"]);
-    directory.hear(at(2), vec![member(1)]);
+    directory.add_claimed(at(2), vec![member(1)]);
     assert_eq!(known(&directory), ["1", "900"], "late news");
 }
 
@@ -368,20 +368,20 @@
     };
     let mut directory = Directory::new(member(0));
     directory.read_page(at(0), page(vec![before.clone(), member(1)]));
-    directory.hear(at(1), vec![before]);
+    directory.add_claimed(at(1), vec![before]);
     assert_eq!(known(&directory), ["1", "2"]);
 }
 
 #[test]
 fn members_heard_twice_or_in_another_order_make_the_same_directory() {
     let mut one = Directory::new(member(0));
-    one.hear(at(0), (1..20).map(member).collect());
+    one.add_claimed(at(0), (1..20).map(member).collect());
     let mut other = Directory::new(member(0));
-    other.hear(at(0), (1..20).rev().map(member).collect());
-    other.hear(at(1), (1..20).map(member).collect());
+    other.add_claimed(at(0), (1..20).rev().map(member).collect());
+    other.add_claimed(at(1), (1..20).map(member).collect());
     assert_eq!(one.digest(), other.digest());
     assert!(one.differing_from(&other.part_digests()).is_empty());
-    other.hear(at(2), vec![member(30)]);
+    other.add_claimed(at(2), vec![member(30)]);
     assert_ne!(one.digest(), other.digest());
     let missing = other.differing_from(&one.part_digests());
     assert!(missing.contains(&member(30)) && missing.len() < 10);
@@ -394,16 +394,16 @@
     let session = SessionId(50);
     rig.open_peer(at(1), session);
     let message = ToPeer::Members((1..40).map(member).collect());
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     rig.join(at(10), 1, "agent-1", cpu(1_000));
     let told = rig.members.pop().expect("it is told").1;
     assert!(told.len() <= 30, "{}", told.len());
 
     let mut subset =
         laurelstile_core::leased::membership::subset::Subset::new("agent-1".into(), "here".into());
-    subset.learn(told);
+    subset.add_members(told);
     let first = subset.first_message(at(20));
-    let Some(Sought { zone, .. }) = &first.sought else {
+    let Some(CandidateSummary { zone, .. }) = &first.candidates else {
         panic!("it says what it seeks");
     };
     assert_eq!(zone, "here");
@@ -451,7 +451,7 @@
     }
     rig.to_peers.clear();
     let crash = laurelstile_core::leased::crashes::WorkerCrash {
-        life: "life-1".into(),
+        incarnation: "life-1".into(),
         runs: 1,
         tasks: vec![CrashedTask {
             task: task(1, 0),
@@ -461,7 +461,7 @@
     let session = SessionId(51);
     for millis in [2, 3] {
         let message = ToPeer::Crashes(vec![crash.clone()]);
-        rig.hear_peer(at(millis), session, message);
+        rig.peer_message(at(millis), session, message);
     }
     let told = rig.to_peers.iter();
     let told = told.filter(|(_, message)| matches!(message, ToPeer::Crashes(_)));
--- a/laurelstiled/src/leased/traffic_log.rs
+++ b/laurelstiled/src/leased/traffic_log.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use laurelstile_wire::traffic::{self, Direction, Tallies};
+use laurelstile_wire::traffic::{self, Direction, MessageCounts};
 use tokio::time::MissedTickBehavior;
 
 /// Interval between log lines.
@@ -15,20 +15,20 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let tallies = traffic::take();
-        if !tallies.is_empty() {
-            let sent = format_tallies(&tallies, Direction::Sent);
-            let received = format_tallies(&tallies, Direction::Received);
+        let counts = traffic::take();
+        if !counts.is_empty() {
+            let sent = format_counts(&counts, Direction::Sent);
+            let received = format_counts(&counts, Direction::Received);
             log::info!(event = "traffic", sent = sent.as_str(), received = received.as_str(); "");
         }
     }
 }
 
-/// Formats the tallies of one direction as `kind:messages:bytes`, such as
+/// Formats the counts of one direction as `kind:messages:bytes`, such as
 /// `start:12:4380 stop:1:52`.
-fn format_tallies(tallies: &Tallies, wanted: Direction) -> String {
+fn format_counts(counts: &MessageCounts, wanted: Direction) -> String {
     let mut line = String::new();
-    for ((direction, kind), tally) in tallies {
+    for ((direction, kind), count) in counts {
         if *direction != wanted {
             continue;
         }
@@ -36,7 +36,7 @@
             line.push(' ');
         }
         // Writing to a string cannot fail.
-        let _ = write!(line, "{kind}:{}:{}", tally.messages, tally.bytes);
+        let _ = write!(line, "{kind}:{}:{}", count.messages, count.bytes);
     }
     line
 }
--- a/laurelstiled/tests/recall.rs
+++ b/laurelstiled/tests/recall.rs
@@ -6,8 +6,8 @@
 
 use laurelstile_core::leased::agent::AgentEvent;
 use laurelstile_core::leased::agent::worker::{FenceToken, KnownLife, Registration, WorkerClock};
-use laurelstile_core::leased::life_name::{Born, LifeName};
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Resources;
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstiled::leased::input::AgentInput;
 use laurelstiled::leased::ports::{Listing, Record, RecordStore, ReplaceOutcome, StoreError};
 use laurelstiled::leased::recall::{RecordWriter, restore, start_writer};
@@ -16,7 +16,7 @@
 /// Injected fault of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteFault {
-    /// The write inject and is not applied.
+    /// The write fails and is not applied.
     Refused,
     /// The write times out, and is applied by [`MemoryStore::apply_late_writes`].
     Late,
@@ -110,21 +110,21 @@
     }
 }
 
-/// Incarnation of the worker that started at `born`; the worker id is always the same.
-fn incarnation(born: u64) -> LifeName {
-    LifeName {
+/// Incarnation of the worker that started at `started_at`; the worker id is always the same.
+fn incarnation(started_at: u64) -> WorkerIncarnation {
+    WorkerIncarnation {
         id: "worker-1".into(),
-        born: Some(Born(born)),
+        started_at: Some(StartTime(started_at)),
     }
 }
 
-fn known(born: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> KnownLife {
+fn known(started_at: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> KnownLife {
     let registration = Registration {
-        life: incarnation(born),
+        life: incarnation(started_at),
         service: "parcels".into(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis,
-            ..Room::default()
+            ..Resources::default()
         },
         labels: Vec::new(),
         clock: WorkerClock(5),
