--- a/laurelstile-lab/src/load/report.rs
+++ b/laurelstile-lab/src/load/report.rs
@@ -5,7 +5,7 @@
 use laurelstile_lab::error::LabError;
 use laurelstile_store::http::HttpClient;
 use laurelstile_wire::traffic::SENT_BYTES;
-use laurelstiled::telemetry::{MESSAGES, STARTS};
+use laurelstiled::telemetry::{MESSAGES_SENT, TASK_STARTS};
 use serde::Serialize;
 
 use super::preset::Preset;
@@ -80,17 +80,17 @@
     let mut messages = Counts::new();
     let (mut starts, mut bytes) = (0, 0);
     for gateway in &cell.gateways {
-        let counts = measure::scrape(&http, &gateway.api, MESSAGES).await?;
+        let counts = measure::scrape(&http, &gateway.api, MESSAGES_SENT).await?;
         measure::add(&mut messages, counts);
         bytes += total(&measure::scrape(&http, &gateway.api, SENT_BYTES).await?);
     }
     for node in cell.agent_metrics() {
         measure::add(
             &mut messages,
-            measure::scrape(&http, &node, MESSAGES).await?,
+            measure::scrape(&http, &node, MESSAGES_SENT).await?,
         );
         bytes += total(&measure::scrape(&http, &node, SENT_BYTES).await?);
-        starts += total(&measure::scrape(&http, &node, STARTS).await?);
+        starts += total(&measure::scrape(&http, &node, TASK_STARTS).await?);
     }
     let gateways = cell.gateways.iter().map(|gateway| gateway.process.pid());
     let agents = cell.agents.iter().map(|agent| agent.process.pid());
--- a/laurelstiled/src/agent/driver.rs
+++ b/laurelstiled/src/agent/driver.rs
@@ -17,7 +17,7 @@
 
 use super::backend::{Backend, Run};
 use crate::clock::Clock;
-use crate::telemetry::{MESSAGES, NOT_STARTED, REVISION, STARTS};
+use crate::telemetry::{MESSAGES_SENT, NOT_STARTED, REVISION, TASK_STARTS};
 
 /// Interval of the state machine's clock ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -188,7 +188,7 @@
     }
 
     fn send(&self, session: SessionId, message: FromAgent) {
-        counter!(MESSAGES, "kind" => message.kind()).increment(1);
+        counter!(MESSAGES_SENT, "kind" => message.kind()).increment(1);
         if let FromAgentBody::NotStarted(refused) = &message.body {
             for refusal in refused {
                 let reason = format!("{:?}", refusal.reason);
@@ -201,7 +201,7 @@
     }
 
     fn start(&mut self, run: Run) {
-        counter!(STARTS).increment(1);
+        counter!(TASK_STARTS).increment(1);
         let dispatch = run.dispatch;
         log::debug!(dispatch:% = dispatch; "starting task");
         let backend = Arc::clone(&self.backend);
--- a/laurelstiled/src/gateway/driver.rs
+++ b/laurelstiled/src/gateway/driver.rs
@@ -18,7 +18,8 @@
 use super::input::{ClaimCommand, DriverInput};
 use crate::clock::Clock;
 use crate::telemetry::{
-    LATE_RESULTS, MESSAGES, QUEUED_TASKS, RESPONSE_SECONDS, REVISION, SUBMISSIONS, TASK_SECONDS,
+    LATE_RESULTS, MESSAGES_SENT, QUEUED_TASKS, RESPONSE_SECONDS, REVISION, SUBMISSIONS,
+    TASK_SECONDS,
 };
 
 /// Interval of the state machine's clock ticks.
@@ -151,13 +152,13 @@
         for effect in std::mem::take(&mut self.effects) {
             match effect {
                 GatewayEffect::ToAgent { session, message } => {
-                    counter!(MESSAGES, "kind" => message.kind()).increment(1);
+                    counter!(MESSAGES_SENT, "kind" => message.kind()).increment(1);
                     if let Some(outgoing) = self.agents.get(&session) {
                         let _ = outgoing.send(message);
                     }
                 }
                 GatewayEffect::ToPeer { session, message } => {
-                    counter!(MESSAGES, "kind" => message.kind()).increment(1);
+                    counter!(MESSAGES_SENT, "kind" => message.kind()).increment(1);
                     if let Some(outgoing) = self.peers.get(&session) {
                         let _ = outgoing.send(message);
                     }
--- a/laurelstiled/src/leased/agent.rs
+++ b/laurelstiled/src/leased/agent.rs
@@ -25,7 +25,7 @@
 use super::gateway::sleep_duration;
 use super::input::AgentInput;
 use super::links::Links;
-use super::ports::{RecordStore, SeedSource, WorkerNews, WorkerPort};
+use super::ports::{RecordStore, SeedSource, WorkerPort, WorkerRequest};
 use super::sessions::{Dialer, SessionHandler};
 use super::settings::{LeasedAgentSettings, LeasedSettings};
 use super::{membership, recall, traffic_log};
@@ -59,7 +59,7 @@
     settings: LeasedSettings,
     role: LeasedAgentSettings,
     worker: Arc<W>,
-    mut worker_requests: mpsc::UnboundedReceiver<WorkerNews>,
+    mut worker_requests: mpsc::UnboundedReceiver<WorkerRequest>,
     store: Arc<S>,
     seed_source: SeedSource,
 ) -> Result<(), DaemonError>
@@ -243,14 +243,14 @@
         self.machine.handle(self.clock.now(), event, effects);
     }
 
-    fn translate_request(&mut self, request: WorkerNews) -> Option<AgentEvent> {
+    fn translate_request(&mut self, request: WorkerRequest) -> Option<AgentEvent> {
         match request {
-            WorkerNews::Registered(registration) => Some(AgentEvent::Registered(registration)),
-            WorkerNews::SetAside { id, error } => {
+            WorkerRequest::Registered(registration) => Some(AgentEvent::Registered(registration)),
+            WorkerRequest::Rejected { id, error } => {
                 self.decisions.record_rejected_heartbeat(&id, &error);
                 None
             }
-            WorkerNews::Deregistration { id, answer } => {
+            WorkerRequest::Deregistration { id, answer } => {
                 let waiting = self.deregistrations.entry(Arc::clone(&id));
                 waiting.or_default().push(answer);
                 Some(AgentEvent::Deregistration { id })
@@ -307,12 +307,12 @@
         OrderKind::Start { run, .. } => AgentEvent::StartAnswered {
             run: *run,
             life,
-            answer: worker.order(&order, COMMAND_TIMEOUT).await,
+            answer: worker.send_command(&order, COMMAND_TIMEOUT).await,
         },
         OrderKind::Stop { run } => AgentEvent::StopAnswered {
             run: *run,
             life,
-            answer: worker.order(&order, COMMAND_TIMEOUT).await,
+            answer: worker.send_command(&order, COMMAND_TIMEOUT).await,
         },
         OrderKind::Watch { wait, .. } => {
             let limit = Duration::from_micros(wait.0) + WATCH_TIMEOUT_MARGIN;
--- a/laurelstiled/src/leased/ports.rs
+++ b/laurelstiled/src/leased/ports.rs
@@ -14,7 +14,7 @@
 /// The worker beside an agent.
 pub trait WorkerPort: Send + Sync + 'static {
     /// Sends a start or stop command to the worker, and waits for the answer for `limit` at most.
-    fn order(
+    fn send_command(
         &self,
         order: &Order,
         limit: Duration,
@@ -34,11 +34,11 @@
 
 /// A call from the worker to the agent.
 #[derive(Debug)]
-pub enum WorkerNews {
+pub enum WorkerRequest {
     /// A registration or heartbeat.
     Registered(Registration),
     /// A heartbeat that was rejected, since it does not describe a usable worker.
-    SetAside {
+    Rejected {
         /// Worker id under which it was sent.
         id: Arc<str>,
         /// Why it was rejected.
--- a/laurelstiled/src/telemetry.rs
+++ b/laurelstiled/src/telemetry.rs
@@ -10,9 +10,9 @@
 /// Run time of tasks at the back end.
 pub const TASK_SECONDS: &str = "laurelstile_task_seconds";
 /// Messages sent to other processes; label `kind`.
-pub const MESSAGES: &str = "laurelstile_messages_sent_total";
+pub const MESSAGES_SENT: &str = "laurelstile_messages_sent_total";
 /// Tasks started by this agent.
-pub const STARTS: &str = "laurelstile_task_starts_total";
+pub const TASK_STARTS: &str = "laurelstile_task_starts_total";
 /// Dispatches that this agent did not start; label `reason`.
 pub const NOT_STARTED: &str = "laurelstile_not_started_total";
 /// Results received for jobs that had already ended.
