--- a/laurelstiled/src/agent/driver.rs
+++ b/laurelstiled/src/agent/driver.rs
@@ -62,7 +62,7 @@
 /// Feeds inputs to the agent's state machine and executes its effects.
 pub struct Driver<B> {
     clock: Clock,
-    machine: Agent,
+    state_machine: Agent,
     incarnation: Incarnation,
     backend: Arc<B>,
     input: mpsc::UnboundedSender<DriverInput>,
@@ -74,10 +74,10 @@
 }
 
 impl<B: Backend> Driver<B> {
-    /// Creates a driver for `machine`; ends of runs are sent to `input`.
+    /// Creates a driver for `state_machine`; ends of runs are sent to `input`.
     pub fn new(
         clock: Clock,
-        machine: Agent,
+        state_machine: Agent,
         incarnation: Incarnation,
         backend: Arc<B>,
         input: mpsc::UnboundedSender<DriverInput>,
@@ -85,7 +85,7 @@
     ) -> Self {
         Self {
             clock,
-            machine,
+            state_machine,
             incarnation,
             backend,
             input,
@@ -111,7 +111,8 @@
                 }
                 _ = tick.tick() => self.handle(AgentEvent::Tick),
             }
-            self.machine.flush(self.clock.now(), &mut self.effects);
+            self.state_machine
+                .flush(self.clock.now(), &mut self.effects);
             self.execute_effects();
         }
     }
@@ -145,7 +146,7 @@
     }
 
     fn handle(&mut self, event: AgentEvent) {
-        self.machine
+        self.state_machine
             .handle(self.clock.now(), event, &mut self.effects);
     }
 
--- a/laurelstiled/src/agent/mod.rs
+++ b/laurelstiled/src/agent/mod.rs
@@ -49,7 +49,8 @@
     Ok(())
 }
 
-/// Runs an agent until its graceful shutdown has finished; completion of `stop` starts the shutdown.
+/// Runs an agent until its graceful shutdown has finished. The shutdown starts when `stop`
+/// completes.
 ///
 /// # Errors
 /// [`DaemonError::History`] if the history file cannot be opened.
@@ -70,8 +71,8 @@
         stop.await;
         let _ = stop_input.send(DriverInput::Stop);
     });
-    let machine = Agent::new(BackendName(node.name.clone()));
-    Driver::new(clock, machine, incarnation, backend, input, history)
+    let state_machine = Agent::new(BackendName(node.name.clone()));
+    Driver::new(clock, state_machine, incarnation, backend, input, history)
         .run(inputs)
         .await;
     tokio::time::sleep(MESSAGE_FLUSH_DELAY).await;
--- a/laurelstiled/src/gateway/driver.rs
+++ b/laurelstiled/src/gateway/driver.rs
@@ -32,7 +32,7 @@
 /// Feeds inputs to the gateway's state machine and executes its effects.
 pub struct Driver {
     clock: Clock,
-    machine: Gateway,
+    state_machine: Gateway,
     dialer: AgentDialer,
     claims: mpsc::UnboundedSender<ClaimCommand>,
     history: HistoryWriter,
@@ -44,17 +44,17 @@
 }
 
 impl Driver {
-    /// Creates a driver for `machine`; claims are sent to `claims`.
+    /// Creates a driver for `state_machine`; claims are sent to `claims`.
     pub fn new(
         clock: Clock,
-        machine: Gateway,
+        state_machine: Gateway,
         dialer: AgentDialer,
         claims: mpsc::UnboundedSender<ClaimCommand>,
         history: HistoryWriter,
     ) -> Self {
         Self {
             clock,
-            machine,
+            state_machine,
             dialer,
             claims,
             history,
@@ -87,7 +87,8 @@
                     }
                 }
             }
-            self.machine.flush(self.clock.now(), &mut self.effects);
+            self.state_machine
+                .flush(self.clock.now(), &mut self.effects);
             self.execute_effects();
         }
     }
@@ -123,10 +124,10 @@
                 self.handle(GatewayEvent::PeerOpened { session, remote });
             }
             DriverInput::Status(reply) => {
-                let _ = reply.send(self.machine.status(self.clock.now()));
+                let _ = reply.send(self.state_machine.status(self.clock.now()));
             }
             DriverInput::InForce(reply) => {
-                let revision = self.machine.revision();
+                let revision = self.state_machine.revision();
                 let _ = reply.send(revision.map(|revision| revision.as_ref().clone()));
             }
             DriverInput::Stop => {
@@ -144,7 +145,7 @@
             self.agents.remove(session);
             self.peers.remove(session);
         }
-        self.machine
+        self.state_machine
             .handle(self.clock.now(), event, &mut self.effects);
     }
 
@@ -177,7 +178,7 @@
                 GatewayEffect::InForce(revision) => {
                     log::info!(revision = revision.number; "configuration in force");
                     self.history.record(Event::InForce {
-                        incarnation: self.machine.incarnation().to_string(),
+                        incarnation: self.state_machine.incarnation().to_string(),
                         revision: revision.number,
                     });
                     self.dialer.configure(&revision.configuration);
@@ -223,11 +224,11 @@
 
     #[expect(clippy::cast_precision_loss, reason = "gauges are floating point")]
     fn update_gauges(&self) {
-        let status = self.machine.status(self.clock.now());
+        let status = self.state_machine.status(self.clock.now());
         gauge!(REVISION).set(status.revision as f64);
         gauge!(SUBMISSIONS).set(status.submissions as f64);
         gauge!(QUEUED_TASKS).set(status.queued_tasks as f64);
-        gauge!(LATE_RESULTS).set(self.machine.late_results() as f64);
+        gauge!(LATE_RESULTS).set(self.state_machine.late_results() as f64);
     }
 }
 
--- a/laurelstiled/src/gateway/mod.rs
+++ b/laurelstiled/src/gateway/mod.rs
@@ -71,9 +71,9 @@
         incarnation,
         zone: node.zone.clone(),
     };
-    let machine = Gateway::new(identity);
+    let state_machine = Gateway::new(identity);
     let dialer = dial::AgentDialer::new(dial_context);
-    Driver::new(clock, machine, dialer, claims, history)
+    Driver::new(clock, state_machine, dialer, claims, history)
         .run(inputs)
         .await;
     tokio::time::sleep(ANSWER_FLUSH_DELAY).await;
--- a/laurelstiled/src/leased/agent.rs
+++ b/laurelstiled/src/leased/agent.rs
@@ -76,7 +76,7 @@
     let gateways = GatewaySessionHandler {
         input: input.clone(),
     };
-    let token_floor = initial_fence_token();
+    let token_floor = fence_token_floor();
     let options = AgentOptions {
         zone: settings.node.zone.0.clone(),
         stop_patience: role.stop_patience(),
@@ -92,7 +92,7 @@
     tokio::spawn(traffic_log::run());
     let mut driver = Driver {
         clock,
-        machine: LeasedAgent::new(options),
+        state_machine: LeasedAgent::new(options),
         links: Links::new(
             Dialer::new(local, settings.seeds.clone(), gateways),
             Subset::new(name.clone(), settings.node.zone.0.clone()),
@@ -113,7 +113,7 @@
     let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
     let mut effects = Vec::new();
     while !driver.is_stopped {
-        let sleep = sleep_duration(&clock, driver.machine.next_wakeup(clock.now()));
+        let sleep = sleep_duration(&clock, driver.state_machine.next_wakeup(clock.now()));
         tokio::select! {
             _ = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {}
             Some(request) = worker_requests.recv() => {
@@ -125,7 +125,7 @@
                 batch.push(AgentInput::Event(AgentEvent::Stop));
             }
             _ = hangup.recv() => driver.links.reload_seeds(&seed_source),
-            _ = review.tick() => driver.links.review(clock.now(), &mut driver.machine),
+            _ = review.tick() => driver.links.review(clock.now(), &mut driver.state_machine),
             _ = lookup.tick(), if driver.links.is_empty() => {
                 driver.links.reload_seeds(&seed_source);
                 driver.look_up_gateways();
@@ -135,7 +135,7 @@
         for input in batch.drain(..) {
             driver.handle_input(input, &mut effects);
         }
-        driver.machine.flush(clock.now(), &mut effects);
+        driver.state_machine.flush(clock.now(), &mut effects);
         for effect in effects.drain(..) {
             driver.execute(effect);
         }
@@ -145,9 +145,9 @@
     Ok(())
 }
 
-/// First fence token of this agent: the wall-clock time in milliseconds, so that a later agent
-/// of the same worker uses higher tokens than an earlier one.
-fn initial_fence_token() -> FenceToken {
+/// Lower bound of this agent's fence tokens: the wall-clock time in milliseconds, so that a later
+/// agent of the same worker uses higher tokens than an earlier one.
+fn fence_token_floor() -> FenceToken {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = time.unwrap_or_default().as_millis();
     FenceToken(u64::try_from(millis).unwrap_or_default())
@@ -200,7 +200,7 @@
 /// Feeds inputs to the agent's state machine and executes its effects.
 struct Driver<W, S> {
     clock: Clock,
-    machine: LeasedAgent,
+    state_machine: LeasedAgent,
     links: Links<GatewaySessionHandler>,
     worker: Arc<W>,
     store: Arc<S>,
@@ -233,14 +233,14 @@
                 }
             }
             AgentInput::Listed(members) => {
-                self.links.learn(self.clock.now(), members);
+                self.links.add_members(self.clock.now(), members);
                 return;
             }
         };
         if let AgentEvent::Closed { session } = &event {
             self.links.on_closed(*session);
         }
-        self.machine.handle(self.clock.now(), event, effects);
+        self.state_machine.handle(self.clock.now(), event, effects);
     }
 
     fn translate_request(&mut self, request: WorkerRequest) -> Option<AgentEvent> {
@@ -251,8 +251,8 @@
                 None
             }
             WorkerRequest::Deregistration { id, answer } => {
-                let waiting = self.deregistrations.entry(Arc::clone(&id));
-                waiting.or_default().push(answer);
+                let pending = self.deregistrations.entry(Arc::clone(&id));
+                pending.or_default().push(answer);
                 Some(AgentEvent::Deregistration { id })
             }
         }
@@ -271,7 +271,7 @@
             }
             AgentEffect::Close(session) => self.links.on_closed(session),
             AgentEffect::Order(order) => self.spawn_command(order),
-            AgentEffect::Members(members) => self.links.learn(self.clock.now(), members),
+            AgentEffect::Members(members) => self.links.add_members(self.clock.now(), members),
             AgentEffect::Remember(known) => self.record_writer.schedule(known),
             AgentEffect::AnswerDeregistration(id) => self.answer_deregistration(&id),
             AgentEffect::Decided(decision) => self.decisions.record_agent(&decision),
--- a/laurelstiled/src/leased/gateway.rs
+++ b/laurelstiled/src/leased/gateway.rs
@@ -98,7 +98,7 @@
     let (status, status_receiver) = watch::channel(GatewayStatus::default());
     let driver = Driver {
         clock,
-        machine: LeasedGateway::new(identity),
+        state_machine: LeasedGateway::new(identity),
         dialer,
         status,
         calls: HashMap::new(),
@@ -238,7 +238,7 @@
 /// Feeds inputs to the gateway's state machine and executes its effects.
 struct Driver {
     clock: Clock,
-    machine: LeasedGateway,
+    state_machine: LeasedGateway,
     dialer: Dialer<PeerSessionHandler>,
     status: watch::Sender<GatewayStatus>,
     calls: HashMap<CallNumber, oneshot::Sender<Answer>>,
@@ -254,7 +254,7 @@
         let mut batch = Vec::with_capacity(MAX_INPUT_BATCH);
         let mut effects = Vec::new();
         while !self.is_stopped {
-            let sleep = sleep_duration(&self.clock, self.machine.next_wakeup());
+            let sleep = sleep_duration(&self.clock, self.state_machine.next_wakeup());
             tokio::select! {
                 _ = inputs.recv_many(&mut batch, MAX_INPUT_BATCH) => {}
                 () = tokio::time::sleep(sleep) => {}
@@ -262,7 +262,7 @@
             for input in batch.drain(..) {
                 self.handle_input(input, &mut effects);
             }
-            self.machine.flush(self.clock.now(), &mut effects);
+            self.state_machine.flush(self.clock.now(), &mut effects);
             for effect in effects.drain(..) {
                 self.execute(effect);
             }
@@ -286,7 +286,7 @@
                 GatewayEvent::Cancel { call, job }
             }
             GatewayInput::HasJob { job, reply } => {
-                let _ = reply.send(self.machine.has_job(job));
+                let _ = reply.send(self.state_machine.has_job(job));
                 return;
             }
             GatewayInput::AgentOpened {
@@ -323,7 +323,7 @@
             GatewayEvent::Stop => log::info!(event = "stopping"; "graceful shutdown started"),
             _ => {}
         }
-        self.machine.handle(self.clock.now(), event, effects);
+        self.state_machine.handle(self.clock.now(), event, effects);
     }
 
     fn execute(&mut self, effect: GatewayEffect) {
@@ -363,8 +363,8 @@
 
     /// Publishes readiness and shutdown state to the front end if they have changed.
     fn publish_status(&mut self) {
-        let is_ready = self.machine.is_ready(self.clock.now());
-        let is_stopping = self.machine.is_stopping();
+        let is_ready = self.state_machine.is_ready(self.clock.now());
+        let is_stopping = self.state_machine.is_stopping();
         self.status.send_if_modified(|status| {
             let has_changed = status.is_ready != is_ready || status.is_stopping != is_stopping;
             status.is_ready = is_ready;
--- a/laurelstiled/src/leased/links.rs
+++ b/laurelstiled/src/leased/links.rs
@@ -71,11 +71,11 @@
     /// Removes a session. If it is still open, dropping its queue closes it.
     pub fn on_closed(&mut self, session: SessionId) {
         if let Some(link) = self.open.remove(&session) {
-            self.update_subset(&link.name);
+            self.mark_disconnected(&link.name);
         }
     }
 
-    fn update_subset(&mut self, name: &str) {
+    fn mark_disconnected(&mut self, name: &str) {
         if !self.open.values().any(|link| link.name == name) {
             self.subset.set_connected(name, false);
         }
@@ -94,7 +94,7 @@
     }
 
     /// Adds gateways to those known, and dials those in the subset.
-    pub fn learn(&mut self, now: Timestamp, members: Vec<Member>) {
+    pub fn add_members(&mut self, now: Timestamp, members: Vec<Member>) {
         self.subset.add_members(members);
         self.dial_wanted(now);
     }
@@ -146,7 +146,7 @@
         for session in expired {
             if let Some(link) = self.open.remove(&session) {
                 log::info!(event = "session_released", gateway = link.name.as_str(), address:% = link.address; "");
-                self.update_subset(&link.name);
+                self.mark_disconnected(&link.name);
             }
         }
     }
--- a/laurelstiled/src/leased/operator.rs
+++ b/laurelstiled/src/leased/operator.rs
@@ -1,5 +1,5 @@
-//! Watches the configuration and the evacuated zones in the store: reads everything once, long-polls
-//! for changes, and reads everything again whenever changes may have been missed.
+//! Watches the configuration and the evacuated zones in the store: reads everything once,
+//! long-polls for changes, and reads everything again whenever changes may have been missed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use super::input::GatewayInput;
 use super::ports::{EvacuationChange, OperatorSource, OperatorUpdate, StoreError};
 
-/// Time that the store may hold a long poll. Short, since a lost answer is noticed only after it.
+/// Time that the store may hold a long poll. Short, since a lost answer is only noticed at its end.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(2_000);
 /// Time-out of an answer, in addition to the long poll.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
--- a/laurelstiled/src/leased/ports.rs
+++ b/laurelstiled/src/leased/ports.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// The worker beside an agent.
+/// The worker that an agent controls.
 pub trait WorkerPort: Send + Sync + 'static {
     /// Sends a start or stop command to the worker, and waits for the answer for `limit` at most.
     fn send_command(
@@ -58,7 +58,7 @@
 pub enum HeartbeatError {
     /// The body is not JSON, or a field is missing, has another type or an unknown value.
     #[error("malformed heartbeat: {0}")]
-    Unreadable(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     /// The worker id or the service is empty.
     #[error("heartbeat without a worker id or service")]
     MissingName,
--- a/laurelstiled/src/leased/recall.rs
+++ b/laurelstiled/src/leased/recall.rs
@@ -31,7 +31,7 @@
 struct StoredWorker {
     /// Registration of the latest incarnation, with the smallest capacity that it has reported.
     registration: Registration,
-    /// Fence token that the writing agent started from; later agents start from higher ones.
+    /// Lower bound of the writing agent's fence tokens; higher for a later agent.
     writer: u64,
 }
 
@@ -104,7 +104,7 @@
             if written.is_ok() {
                 break;
             }
-            // If another record is missing, a later agent just waits for a heartbeat.
+            // Without a record that is not vital, a later agent only has to wait for a heartbeat.
             if attempts >= max_attempts {
                 log::warn!(event = "worker_not_recorded", life:% = record.registration.life, writes = attempts; "registration of the worker was not written to the record store");
                 break;
--- a/laurelstiled/src/leased/sessions.rs
+++ b/laurelstiled/src/leased/sessions.rs
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Reads the seeds again from the settings, and dials them. On failure keeps the old ones.
+    /// Reads the seeds again from the settings, and dials them. Keeps the previous seeds if the
+    /// settings cannot be read.
     pub fn reload_seeds(&mut self, source: &SeedSource) {
         let Some(seeds) = source() else {
             log::warn!(event = "reload_failed"; "the settings cannot be read; keeping the previous seeds");
@@ -131,7 +132,7 @@
     }
 }
 
-/// Dials one address again and again, and runs each session that is opened.
+/// Dials one address repeatedly, and runs each session that is opened.
 struct Connector<D> {
     address: SocketAddr,
     is_seed: bool,
@@ -185,7 +186,7 @@
     Duration::from_micros(span.0)
 }
 
-/// Logs and counts the end of a session.
+/// Logs and counts the end of a session; `remote` is its address.
 pub fn record_session_end(error: &WireError, remote: &str) {
     counter!(SESSION_ERRORS, "kind" => error.kind(), "side" => "gateway").increment(1);
     log::info!(event = "session_ended", remote = remote, error:% = error; "session ended");
--- a/laurelstiled/src/settings.rs
+++ b/laurelstiled/src/settings.rs
@@ -35,8 +35,7 @@
     pub name: String,
     /// Zone in which the process runs.
     pub zone: ZoneName,
-    /// Secret shared by all processes of the installation; at least
-    /// `MIN_SECRET_BYTES` long.
+    /// Secret shared by all processes of the installation, of `MIN_SECRET_BYTES` or more.
     pub secret: String,
     /// File to which the history of events is appended; for consistency checks, not for
     /// production.
--- a/laurelstiled/tests/lookup.rs
+++ b/laurelstiled/tests/lookup.rs
@@ -16,8 +16,8 @@
 
 #[test]
 fn seeds_have_time_to_answer_before_the_first_read() {
-    let soonest = lookup_delays().into_iter().min().expect("there are agents");
-    assert!(soonest >= Duration::from_millis(30));
+    let shortest = lookup_delays().into_iter().min().expect("there are agents");
+    assert!(shortest >= Duration::from_millis(30));
 }
 
 #[test]
@@ -27,7 +27,10 @@
         let from = WINDOW * window;
         let in_window = |after: &&Duration| **after >= from && **after < from + WINDOW;
         let reads = lookups.iter().filter(in_window).count();
-        assert!(reads <= AGENTS * 3 / 10, "{reads} from {from:?}");
+        assert!(
+            reads <= AGENTS * 3 / 10,
+            "{reads} reads in the window from {from:?}"
+        );
     }
 }
 
