--- a/laurelstiled/src/gateway/api.rs
+++ b/laurelstiled/src/gateway/api.rs
@@ -180,7 +180,7 @@
 
 impl HttpResponseError for TypedFailure {
     fn status_code(&self) -> ErrorStatusCode {
-        status_of(self.0.reason)
+        to_status_code(self.0.reason)
             .try_into()
             .unwrap_or(ErrorStatusCode::INTERNAL_SERVER_ERROR)
     }
@@ -301,7 +301,7 @@
         message: failure.reason.to_string(),
     };
     let retry_after = failure.retry_after_millis;
-    json_response(status_of(failure.reason), retry_after, &body)
+    json_response(to_status_code(failure.reason), retry_after, &body)
 }
 
 fn json_response<T: Serialize>(
@@ -320,7 +320,7 @@
 }
 
 /// Maps each reason to its HTTP status.
-fn status_of(reason: Reason) -> StatusCode {
+fn to_status_code(reason: Reason) -> StatusCode {
     match reason {
         Reason::BadRequest | Reason::JobSize | Reason::IdempotencyKeyMissing => {
             StatusCode::BAD_REQUEST
--- a/laurelstiled/src/gateway/platform.rs
+++ b/laurelstiled/src/gateway/platform.rs
@@ -140,18 +140,18 @@
             submission: claim.submission.to_string(),
         });
     }
-    let fates = claim_all(&platform, &claims).await;
-    for (claim, fate) in claims.into_iter().zip(fates) {
-        let outcome = match fate {
+    let results = claim_all(&platform, &claims).await;
+    for (claim, result) in claims.into_iter().zip(results) {
+        let outcome = match result {
             ClaimFate::Granted => ClaimOutcome::Granted,
             ClaimFate::Taken => ClaimOutcome::Taken,
             ClaimFate::Unavailable => ClaimOutcome::Unavailable,
         };
-        if fate != ClaimFate::Unavailable {
+        if result != ClaimFate::Unavailable {
             history.record(Event::ClaimDecided {
                 claim: claim_path(&claim),
                 submission: claim.submission.to_string(),
-                granted: fate == ClaimFate::Granted,
+                granted: result == ClaimFate::Granted,
             });
         }
         let event = GatewayEvent::Claimed {
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -15,9 +15,9 @@
 use super::ports::HeartbeatError;
 use crate::telemetry::{
     CAPACITY_EXPIRED, CONTAINED_QUEUES, EVACUATED_ZONES, HEARTBEATS_IGNORED, JOB_SECONDS,
-    JOB_STAGE_SECONDS, JOBS_ANSWERED, KNOWN_GATEWAYS, OFFERS, OFFERS_EXPIRED, RUN_TIME_RATIO,
-    RUNS_ENDED, RUNS_STOPPED, SILENT_NEIGHBORS, STARTS_HELD, STOPS_UNANSWERED, TASKS_RETURNED,
-    TASKS_SUSPECTED, WORKER_CRASHES, WORKER_SILENT,
+    JOB_STAGE_SECONDS, JOBS_ANSWERED, KNOWN_GATEWAYS, MISSING_SESSIONS, OFFERS, OFFERS_EXPIRED,
+    RUN_TIME_RATIO, RUNS_ENDED, RUNS_STOPPED, STARTS_HELD, STOPS_UNANSWERED, TASKS_RETURNED,
+    TASKS_SUSPECTED, WORKER_CRASHES, WORKER_UNRESPONSIVE,
 };
 
 /// Maximum number of lines about intermediate steps per period.
@@ -318,7 +318,7 @@
         }
         GatewayDecision::Neighbors(view) => {
             gauge!(KNOWN_GATEWAYS).set(view.known as f64);
-            gauge!(SILENT_NEIGHBORS).set((view.wanted - view.answering) as f64);
+            gauge!(MISSING_SESSIONS).set((view.wanted - view.answering) as f64);
         }
         GatewayDecision::Contained { is_contained, .. } => {
             let change = if *is_contained { 1.0 } else { -1.0 };
@@ -359,7 +359,7 @@
         AgentDecision::StopUnanswered { reason, .. } => {
             counter!(STOPS_UNANSWERED, "reason" => *reason).increment(1);
         }
-        AgentDecision::WorkerSilent { .. } => counter!(WORKER_SILENT).increment(1),
+        AgentDecision::WorkerSilent { .. } => counter!(WORKER_UNRESPONSIVE).increment(1),
         AgentDecision::RoomAged { .. } => counter!(CAPACITY_EXPIRED).increment(1),
         AgentDecision::HeartbeatIgnored { reason, .. } => {
             counter!(HEARTBEATS_IGNORED, "reason" => reason.name()).increment(1);
--- a/laurelstiled/src/leased/settings.rs
+++ b/laurelstiled/src/leased/settings.rs
@@ -118,8 +118,8 @@
     pub fn stop_times(&self) -> StopTimes {
         let overlap = (self.grace_seconds * OVERLAP_FRACTION).min(MAX_OVERLAP_SECONDS);
         StopTimes {
-            overlap: span_of(overlap),
-            limit: span_of((self.grace_seconds - ANSWER_RESERVE_SECONDS).max(overlap)),
+            overlap: span_from_seconds(overlap),
+            limit: span_from_seconds((self.grace_seconds - ANSWER_RESERVE_SECONDS).max(overlap)),
         }
     }
 }
@@ -135,7 +135,7 @@
 
     /// Time that a graceful shutdown waits for the remaining runs to end.
     pub fn stop_patience(&self) -> Span {
-        span_of((self.grace_seconds - STOP_RESERVE_SECONDS).max(0.0))
+        span_from_seconds((self.grace_seconds - STOP_RESERVE_SECONDS).max(0.0))
     }
 }
 
@@ -144,7 +144,7 @@
     clippy::cast_sign_loss,
     reason = "checked to be positive and at most an hour"
 )]
-fn span_of(seconds: f64) -> Span {
+fn span_from_seconds(seconds: f64) -> Span {
     Span::from_millis((seconds * 1_000.0) as u64)
 }
 
--- a/laurelstiled/src/telemetry.rs
+++ b/laurelstiled/src/telemetry.rs
@@ -45,7 +45,7 @@
 /// Number of gateways known to this gateway, including itself.
 pub const KNOWN_GATEWAYS: &str = "laurelstile_known_gateways";
 /// Number of gateways that this gateway should have a session to but has not.
-pub const SILENT_NEIGHBORS: &str = "laurelstile_silent_neighbors";
+pub const MISSING_SESSIONS: &str = "laurelstile_silent_neighbors";
 /// Offers of free resources that this gateway answered; label `outcome` (`used`, `declined`).
 pub const OFFERS: &str = "laurelstile_offers_total";
 /// Offers of this agent that no gateway answered in time.
@@ -76,7 +76,7 @@
 /// Number of times that starts were suspended because the worker's heartbeats were missing.
 pub const CAPACITY_EXPIRED: &str = "laurelstile_worker_room_aged_total";
 /// Number of times that the worker stopped answering.
-pub const WORKER_SILENT: &str = "laurelstile_worker_silent_total";
+pub const WORKER_UNRESPONSIVE: &str = "laurelstile_worker_silent_total";
 
 /// Upper bounds of the histogram buckets, in seconds.
 const BUCKETS: [f64; 14] = [
