--- a/laurelstile-core/src/leased/gateway/cancels.rs
+++ b/laurelstile-core/src/leased/gateway/cancels.rs
@@ -1,4 +1,5 @@
-//! Cancelled jobs: a caller may cancel at any gateway, not only at the one that has the job.
+//! Recently cancelled jobs. A caller may cancel a job at any gateway, so gateways forward
+//! cancellations to each other.
 
 use std::collections::VecDeque;
 
@@ -10,56 +11,57 @@
 use crate::leased::task::JobId;
 use crate::session::SessionId;
 
-/// How long a cancel is remembered: a call that hands the job in may be on its way still,
-/// or sent again after a broken connection.
-const MEMORY: Span = Span::from_secs(10);
-/// Most cancels that are remembered, 16 bytes each.
-const MOST_REMEMBERED: usize = 4_096;
+/// How long a cancellation is kept: the submission may still be in flight, or be repeated
+/// after a broken connection.
+const RETENTION: Span = Span::from_secs(10);
+/// Maximum number of entries, 16 bytes each.
+const MAX_ENTRIES: usize = 4_096;
 
-/// Jobs that were cancelled of late.
+/// The jobs cancelled within [`RETENTION`].
 #[derive(Debug, Default)]
-pub struct Cancels {
+pub struct CancelLog {
     jobs: VecDeque<(Timestamp, JobId)>,
-    /// When one was last forgotten for want of room.
-    overran_at: Option<Timestamp>,
+    /// When an entry was last evicted before its retention ended.
+    last_evicted_at: Option<Timestamp>,
 }
 
-impl Cancels {
-    fn note(&mut self, now: Timestamp, job: JobId) {
-        let is_old = |(at, _): &(Timestamp, JobId)| now.since(*at) > MEMORY;
+impl CancelLog {
+    fn record(&mut self, now: Timestamp, job: JobId) {
+        let is_old = |(at, _): &(Timestamp, JobId)| now.since(*at) > RETENTION;
         while self.jobs.front().is_some_and(is_old) {
             self.jobs.pop_front();
         }
-        if self.jobs.len() >= MOST_REMEMBERED {
+        if self.jobs.len() >= MAX_ENTRIES {
             self.jobs.pop_front();
-            self.overran_at = Some(now);
+            self.last_evicted_at = Some(now);
         }
         self.jobs.push_back((now, job));
     }
 
-    /// Whether what seems to be news may have been known and forgotten. It is not passed on
-    /// then: it would go round and round.
-    fn may_repeat(&self, now: Timestamp) -> bool {
-        self.overran_at.is_some_and(|at| now.since(at) <= MEMORY)
+    /// Whether a cancellation that seems new may be one that was evicted. Such cancellations
+    /// are not forwarded, since they could circulate between gateways forever.
+    fn may_have_evicted(&self, now: Timestamp) -> bool {
+        self.last_evicted_at
+            .is_some_and(|at| now.since(at) <= RETENTION)
     }
 
-    /// The jobs that were cancelled of late.
+    /// Jobs whose cancellation is still retained.
     fn recent(&self, now: Timestamp) -> Vec<JobId> {
         let jobs = self.jobs.iter();
-        let recent = jobs.filter(|(at, _)| now.since(*at) <= MEMORY);
+        let recent = jobs.filter(|(at, _)| now.since(*at) <= RETENTION);
         recent.map(|(_, job)| *job).collect()
     }
 
-    /// Whether a job was cancelled of late.
+    /// Whether the job's cancellation is still retained.
     pub fn contains(&self, now: Timestamp, job: JobId) -> bool {
         let mut jobs = self.jobs.iter();
-        jobs.any(|(at, known)| *known == job && now.since(*at) <= MEMORY)
+        jobs.any(|(at, known)| *known == job && now.since(*at) <= RETENTION)
     }
 }
 
 impl LeasedGateway {
-    /// A caller cancels a job. If another gateway has it, that one ends it: the answer that
-    /// it is unknown here counts as the acknowledgement all the same.
+    /// Handles a caller's cancellation. An unknown job is cancelled at the gateway that holds
+    /// it; the answer `Unknown` still acknowledges the request.
     pub(super) fn on_cancel(
         &mut self,
         now: Timestamp,
@@ -68,18 +70,18 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let is_here = self.jobs.contains_key(&job);
-        self.end_cancelled(now, job, effects);
+        self.cancel_job(now, job, effects);
         let answer = if is_here {
             Answer::Cancelled
         } else {
-            self.tell_peers(&ToPeer::Cancelled(vec![job]), effects);
+            self.broadcast_to_peers(&ToPeer::Cancelled(vec![job]), effects);
             Answer::Unknown
         };
         effects.push(GatewayEffect::Answer { call, answer });
     }
 
-    /// Tells a new peer what was cancelled before it came.
-    pub(super) fn tell_peer_cancels(
+    /// Sends the retained cancellations to a new peer.
+    pub(super) fn send_recent_cancels(
         &self,
         now: Timestamp,
         session: SessionId,
@@ -92,29 +94,29 @@
         }
     }
 
-    /// Jobs were cancelled at another gateway. What is news here is passed on.
-    pub(super) fn on_cancels_told(
+    /// Applies cancellations received from a peer and forwards those that are new here.
+    pub(super) fn on_peer_cancels(
         &mut self,
         now: Timestamp,
         source: SessionId,
         jobs: &[JobId],
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let is_news = |job: &&JobId| !self.cancels.contains(now, **job);
-        let news: Vec<JobId> = jobs.iter().filter(is_news).copied().collect();
-        if news.is_empty() {
+        let is_new = |job: &&JobId| !self.cancels.contains(now, **job);
+        let new_jobs: Vec<JobId> = jobs.iter().filter(is_new).copied().collect();
+        if new_jobs.is_empty() {
             return;
         }
-        for job in &news {
-            self.end_cancelled(now, *job, effects);
+        for job in &new_jobs {
+            self.cancel_job(now, *job, effects);
         }
-        if !self.cancels.may_repeat(now) {
-            self.tell_other_peers(source, &ToPeer::Cancelled(news), effects);
+        if !self.cancels.may_have_evicted(now) {
+            self.forward_to_peers(source, &ToPeer::Cancelled(new_jobs), effects);
         }
     }
 
-    fn end_cancelled(&mut self, now: Timestamp, job: JobId, effects: &mut Vec<GatewayEffect>) {
-        self.cancels.note(now, job);
+    fn cancel_job(&mut self, now: Timestamp, job: JobId, effects: &mut Vec<GatewayEffect>) {
+        self.cancels.record(now, job);
         self.finish(now, job, Answer::Cancelled, effects);
     }
 }
--- a/laurelstile-core/src/leased/gateway/candidate.rs
+++ b/laurelstile-core/src/leased/gateway/candidate.rs
@@ -1,26 +1,28 @@
-//! A choice of where tasks go.
+//! A candidate placement of tasks on a worker.
 
 use laurelstile_types::id::Incarnation;
 
-/// A worker that could take tasks of a step.
+/// A worker that can take tasks of a step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) agent: Incarnation,
-    /// Whether it is fast enough for the job's objective.
+    /// Whether the expected run time there is within the job's objective.
     pub(super) is_fast: bool,
-    /// Tasks that it has room for, no more than are wanted.
+    /// Number of tasks that fit, at most the number wanted.
     pub(super) tasks: u32,
+    /// Expected run time plus penalties, in microseconds; lower is better.
     pub(super) cost: u64,
-    /// The offer whose room is used, if it is not room that was reported as free.
+    /// The offer whose reserved resources are used; `None` if reported free resources are
+    /// used.
     pub(super) offer: Option<u64>,
-    /// The task that goes by itself, if it is one of those.
-    pub(super) apart: Option<u32>,
-    /// Whether the worker is to run nothing beside it.
-    pub(super) is_alone: bool,
+    /// Index of the task to place separately, or `None` for a batch of unsuspected tasks.
+    pub(super) separated: Option<u32>,
+    /// Whether the worker must run no other task at the same time.
+    pub(super) is_exclusive: bool,
 }
 
 impl Candidate {
-    /// The worker whose agent made an offer that has room for `tasks` tasks.
+    /// A worker whose agent made offer number `offer`, which fits `tasks` tasks.
     pub(super) fn offered(agent: Incarnation, tasks: u32, offer: u64) -> Self {
         Self {
             agent,
@@ -28,29 +30,29 @@
             tasks,
             cost: 0,
             offer: Some(offer),
-            apart: None,
-            is_alone: false,
+            separated: None,
+            is_exclusive: false,
         }
     }
 
-    /// The worker on which task `index` runs alone.
-    pub(super) fn alone(agent: Incarnation, index: u32) -> Self {
+    /// A worker on which task `index` runs without any other task.
+    pub(super) fn exclusive(agent: Incarnation, index: u32) -> Self {
         Self {
             agent,
             is_fast: true,
             tasks: 1,
             cost: 0,
             offer: None,
-            apart: Some(index),
-            is_alone: true,
+            separated: Some(index),
+            is_exclusive: true,
         }
     }
 
-    /// The same worker, for task `index` by itself.
-    pub(super) fn apart(self, index: u32) -> Self {
+    /// The same worker, restricted to the separately placed task `index`.
+    pub(super) fn with_separated(self, index: u32) -> Self {
         Self {
             tasks: 1,
-            apart: Some(index),
+            separated: Some(index),
             ..self
         }
     }
--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -1,5 +1,5 @@
-//! What becomes of tasks at agents: done, failed, come back, or lost with
-//! their agent.
+//! Ends of tasks at agents: completion, failure, return without a start, or loss with the
+//! agent.
 
 use std::sync::Arc;
 
@@ -12,24 +12,24 @@
 use crate::leased::messages::{EndKind, NotStartedReason, Snapshot, TaskEnd, ToAgentBody};
 use crate::leased::task::{JobId, RunId, RunNumber, TaskId};
 
-/// Placements that may come back at once before the job pauses.
-const BOUNCES_BEFORE_PAUSE: u32 = 6;
-/// That pause.
-const BOUNCE_PAUSE: Span = Span::from_millis(5);
-/// Failures beyond those that its queue allows after which a task is not excused by its
-/// workers any more: a worker may be suspected for nothing but this task's failures. Without
-/// the bound its caller waited for its whole deadline (20 s) and was not told that it failed.
-const FAILURES_ON_SUSPECTS: u32 = 4;
-/// Runs of a task that stood still after which its job is given up: without a bound it would
-/// stand still on one worker after the other until its caller's deadline. Workers that hang are
-/// on probation after their first task, so that a sound task seldom meets several of them.
-const MOST_STALLS: u32 = 4;
-/// Pause before a task is placed again whose earlier run is being stopped.
-const DUPLICATE_PAUSE: Span = Span::from_millis(100);
-/// How long an agent without a session is remembered, to tell the next one of its name.
-const AGENT_MEMORY: Span = Span::from_secs(3);
-/// How far run numbers jump past those of an earlier gateway.
-const RUN_JUMP: u32 = 16;
+/// Number of returned starts after which the job's placement is delayed by [`RETURN_BACKOFF`].
+const RETURNS_BEFORE_BACKOFF: u32 = 6;
+/// Delay before a job is placed again after repeated returns.
+const RETURN_BACKOFF: Span = Span::from_millis(5);
+/// Failed runs on suspected workers that a task may have beyond its queue's attempts. Without
+/// a bound, a task whose failures alone make workers suspected would be retried until the
+/// caller's deadline.
+const MAX_FAILURES_ON_SUSPECTS: u32 = 4;
+/// Number of stalled runs after which a task's job is given up. Without a bound the task could
+/// stall on one worker after another until the caller's deadline.
+const MAX_STALLS: u32 = 4;
+/// Delay before a task is placed again while its earlier run is being stopped.
+const DUPLICATE_BACKOFF: Span = Span::from_millis(100);
+/// How long a disconnected agent is kept, so that its successor of the same name can be told
+/// how long it was silent.
+const DISCONNECTED_AGENT_RETENTION: Span = Span::from_secs(3);
+/// Increment that moves run numbers past those assigned by an earlier gateway.
+const RUN_NUMBER_INCREMENT: u32 = 16;
 
 impl LeasedGateway {
     pub(super) fn on_task_end(
@@ -49,7 +49,7 @@
         if worker.tasks.get(&end.task) != Some(&end.run) {
             return;
         }
-        worker.end(end.task);
+        worker.remove_task(end.task);
         let name = worker.name.clone();
         let run = RunId {
             task: end.task,
@@ -78,11 +78,11 @@
             return;
         }
         job.placed -= 1;
-        let is_proved_idle = matches!(
+        let is_proved_not_run = matches!(
             how,
             EndKind::NotStarted(reason) if reason != NotStartedReason::Refused
         );
-        job.may_have_started |= !is_proved_idle;
+        job.may_have_started |= !is_proved_not_run;
         if how == EndKind::Done {
             self.on_task_done(now, id, effects);
             return;
@@ -93,7 +93,7 @@
             how,
             source,
         }));
-        self.place_again(now, id, how, effects);
+        self.requeue_task(now, id, how, effects);
     }
 
     fn on_task_done(&mut self, now: Timestamp, id: TaskId, effects: &mut Vec<GatewayEffect>) {
@@ -111,7 +111,7 @@
         let is_step_done = step.is_done();
         if is_step_done {
             self.run_times
-                .note(&job.queue.name, step.guess, step.longest);
+                .record(&job.queue.name, step.caller_estimate, step.longest);
             effects.push(GatewayEffect::Decided(GatewayDecision::StepDone {
                 queue: Arc::clone(&job.queue),
                 expected: step.request.estimate,
@@ -121,12 +121,13 @@
         if job.is_done() {
             self.finish(now, id.job, Answer::Completed, effects);
         } else if is_step_done {
-            self.wait_for_room(id.job);
+            self.enqueue_if_placeable(id.job);
         }
     }
 
-    /// Puts a task that did not end well back among those that wait.
-    fn place_again(
+    /// Counts an unsuccessful run and queues the task again, or ends its job if a limit is
+    /// reached.
+    fn requeue_task(
         &mut self,
         now: Timestamp,
         id: TaskId,
@@ -136,7 +137,7 @@
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
-        let most_failures = job.queue.max_attempts.max(1);
+        let max_failures = job.queue.max_attempts.max(1);
         let Some(task) = job.task_mut(id) else {
             return;
         };
@@ -147,44 +148,44 @@
             EndKind::Stalled => task.stalls += 1,
             EndKind::FailedOnSuspect => task.failures_on_suspects += 1,
             EndKind::TooSlow { .. } | EndKind::Lost | EndKind::Stopped => {}
-            EndKind::NotStarted(NotStartedReason::OldRun) => task.run.0 += RUN_JUMP,
+            EndKind::NotStarted(NotStartedReason::OldRun) => task.run.0 += RUN_NUMBER_INCREMENT,
             EndKind::NotStarted(_) => {}
         }
         let has_stalled = task.stalls > 0;
-        let most_in_all = most_failures.saturating_add(FAILURES_ON_SUSPECTS);
+        let max_total_failures = max_failures.saturating_add(MAX_FAILURES_ON_SUSPECTS);
         let failures = task.failures.saturating_add(task.failures_on_suspects);
-        if task.failures >= most_failures || failures >= most_in_all {
+        if task.failures >= max_failures || failures >= max_total_failures {
             self.finish(now, id.job, Answer::Failed, effects);
             return;
         }
-        if task.stalls >= MOST_STALLS {
+        if task.stalls >= MAX_STALLS {
             self.finish(now, id.job, Answer::GivenUp, effects);
             return;
         }
         let step = &mut job.steps[id.step as usize];
         step.waiting.insert(id.index);
         if has_stalled || self.crashes.standing(id) != Standing::Clear {
-            job.set_apart(id);
+            job.separate(id);
         }
         let step = &mut job.steps[id.step as usize];
         if let EndKind::TooSlow { projected_millis } = how {
             step.raise_estimate(Span::from_millis(u64::from(projected_millis)));
         }
         if let EndKind::NotStarted(reason) = how {
-            let is_new_bounce = job.bounced != Some(now);
-            job.bounced = Some(now);
-            job.bounces += u32::from(is_new_bounce);
+            let is_new_return = job.last_returned != Some(now);
+            job.last_returned = Some(now);
+            job.returned_starts += u32::from(is_new_return);
             if reason == NotStartedReason::Duplicate {
-                self.pause(id.job, now.after(DUPLICATE_PAUSE));
-            } else if is_new_bounce && job.bounces > BOUNCES_BEFORE_PAUSE {
-                self.pause(id.job, now.after(BOUNCE_PAUSE));
+                self.delay_placement(id.job, now.after(DUPLICATE_BACKOFF));
+            } else if is_new_return && job.returned_starts > RETURNS_BEFORE_BACKOFF {
+                self.delay_placement(id.job, now.after(RETURN_BACKOFF));
             }
         }
-        self.wait_for_room(id.job);
+        self.enqueue_if_placeable(id.job);
         self.refuse_or_give_up(now, id.job, effects);
     }
 
-    pub(super) fn pause(&mut self, id: JobId, until: Timestamp) {
+    pub(super) fn delay_placement(&mut self, id: JobId, until: Timestamp) {
         if let Some(job) = self.jobs.get_mut(&id)
             && until > job.not_before
         {
@@ -194,7 +195,7 @@
         }
     }
 
-    fn wait_for_room(&mut self, id: JobId) {
+    fn enqueue_if_placeable(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get(&id)
             && job.has_placeable()
         {
@@ -202,10 +203,10 @@
         }
     }
 
-    /// An agent tells what its worker is and which of our tasks it holds. What
-    /// it does not hold has ended, and so has all that an earlier process of
-    /// the same name held. What it holds and nobody waits for is stopped: without
-    /// that it ran on to its end, beside the job that its caller handed in again.
+    /// Handles an agent's snapshot of its worker and the tasks that it holds for this gateway.
+    /// Tasks not in the first snapshot of a session have ended, as have all tasks of earlier
+    /// processes of the same name. Tasks that are held but no longer wanted are stopped;
+    /// otherwise they could run beside a resubmission of their job.
     pub(super) fn on_snapshot(
         &mut self,
         now: Timestamp,
@@ -221,15 +222,15 @@
         let is_first = worker.snapshot.is_none();
         worker.snapshot = Some(snapshot);
         worker.has_crashed = false;
-        worker.note_evacuations(&self.evacuations);
+        worker.update_evacuation(&self.evacuations);
         self.without_worker_since = None;
         if is_first {
-            let lost = worker.missing(&held);
-            let left_over = worker.left_over(&held);
-            if !left_over.is_empty() {
-                self.send(now, agent, ToAgentBody::Stop(left_over), effects);
+            let lost = worker.not_held(&held);
+            let orphaned = worker.orphaned(&held);
+            if !orphaned.is_empty() {
+                self.send(now, agent, ToAgentBody::Stop(orphaned), effects);
             }
-            self.lose(now, agent, &lost, EndSource::Snapshot, effects);
+            self.mark_lost(now, agent, &lost, EndSource::Snapshot, effects);
         }
         let predecessors: Vec<Incarnation> = self
             .workers
@@ -238,39 +239,44 @@
             .map(|(other, _)| *other)
             .collect();
         for old in predecessors {
-            self.lose_all(now, old, EndSource::Successor, effects);
+            self.mark_all_lost(now, old, EndSource::Successor, effects);
             self.workers.remove(&old);
-            self.start_window.forget(old);
-            self.way_in.forget(old);
+            self.start_window.remove_agent(old);
+            self.way_in.remove_agent(old);
         }
     }
 
-    /// Ends the tasks of agents that were silent for so long that their
-    /// workers have let everything lapse.
-    pub(super) fn end_lapsed_agents(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
-        let lapsed: Vec<Incarnation> = self
+    /// Marks the tasks of agents lost that have been silent for so long that their leases have
+    /// expired, and drops agents that were disconnected for longer than
+    /// [`DISCONNECTED_AGENT_RETENTION`].
+    pub(super) fn expire_silent_agents(
+        &mut self,
+        now: Timestamp,
+        effects: &mut Vec<GatewayEffect>,
+    ) {
+        let expired: Vec<Incarnation> = self
             .workers
             .iter()
-            .filter(|(_, worker)| !worker.tasks.is_empty() && now >= worker.lapses_at())
+            .filter(|(_, worker)| !worker.tasks.is_empty() && now >= worker.expires_at())
             .map(|(agent, _)| *agent)
             .collect();
-        for agent in lapsed {
+        for agent in expired {
             if let Some(worker) = self.workers.get(&agent) {
                 effects.push(GatewayEffect::Decided(GatewayDecision::AgentLapsed {
                     agent: worker.name.clone(),
                     tasks: worker.tasks.len(),
-                    silence: now.since(worker.heard),
+                    silence: now.since(worker.last_heard),
                 }));
             }
-            self.lose_all(now, agent, EndSource::Silence, effects);
+            self.mark_all_lost(now, agent, EndSource::Silence, effects);
         }
         self.workers.retain(|_, worker| {
-            let is_recent = now.since(worker.heard) <= AGENT_MEMORY;
+            let is_recent = now.since(worker.last_heard) <= DISCONNECTED_AGENT_RETENTION;
             worker.session.is_some() || !worker.tasks.is_empty() || is_recent
         });
     }
 
-    fn lose_all(
+    fn mark_all_lost(
         &mut self,
         now: Timestamp,
         agent: Incarnation,
@@ -281,10 +287,10 @@
             return;
         };
         let tasks: Vec<TaskId> = worker.tasks.keys().copied().collect();
-        self.lose(now, agent, &tasks, source, effects);
+        self.mark_lost(now, agent, &tasks, source, effects);
     }
 
-    fn lose(
+    fn mark_lost(
         &mut self,
         now: Timestamp,
         agent: Incarnation,
@@ -297,7 +303,7 @@
                 return;
             };
             let name = worker.name.clone();
-            let Some(run) = worker.end(*task) else {
+            let Some(run) = worker.remove_task(*task) else {
                 continue;
             };
             let run = RunId { task: *task, run };
--- a/laurelstile-core/src/leased/gateway/evacuation.rs
+++ b/laurelstile-core/src/leased/gateway/evacuation.rs
@@ -1,8 +1,8 @@
-//! Evacuated zones at a gateway: told on, and no longer used.
+//! Evacuated zones: distribution to agents and peers, and exclusion from placement.
 
 use laurelstile_types::time::Timestamp;
 
-use super::intake::RETRY_SOON;
+use super::intake::RETRY_DELAY;
 use super::job::Job;
 use super::workers::Worker;
 use super::{Answer, GatewayDecision, GatewayEffect, LeasedGateway, Refusal};
@@ -12,58 +12,59 @@
 use crate::session::SessionId;
 
 impl LeasedGateway {
-    /// The zones that are evacuated, as far as is known here.
+    /// The latest known set of evacuated zones.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Takes in what was read from the store, and tells agents and peers at once. Also if
-    /// it says what was known already: in between they may have heard of a change that was
-    /// missed here, and of nothing since.
+    /// Applies evacuations read from the store and sends them to agents and peers. They are
+    /// sent even if the zones are unchanged: agents and peers may have learned of an
+    /// intermediate change that this gateway missed.
     pub(super) fn on_evacuations_read(
         &mut self,
         now: Timestamp,
-        news: Evacuations,
+        update: Evacuations,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        if self.evacuations.update(news) != Update::Late {
-            self.spread_evacuations(now, effects);
+        if self.evacuations.update(update) != Update::Late {
+            self.broadcast_evacuations(now, effects);
         }
     }
 
-    /// Takes in what a peer tells, and passes on what has changed. What only confirms is
-    /// not passed on: each gateway that reads would make all others speak.
-    pub(super) fn on_evacuations_told(
+    /// Applies evacuations received from a peer and forwards them if the zones have changed.
+    /// Confirmations are not forwarded; otherwise every read by one gateway would cause
+    /// messages from all others.
+    pub(super) fn on_peer_evacuations(
         &mut self,
         now: Timestamp,
-        news: Evacuations,
+        update: Evacuations,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        if self.evacuations.update(news) == Update::Changed {
-            self.spread_evacuations(now, effects);
+        if self.evacuations.update(update) == Update::Changed {
+            self.broadcast_evacuations(now, effects);
         }
     }
 
-    fn spread_evacuations(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
+    fn broadcast_evacuations(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let decision = GatewayDecision::Evacuated(self.evacuations.clone());
         effects.push(GatewayEffect::Decided(decision));
         for worker in self.workers.values_mut() {
-            worker.note_evacuations(&self.evacuations);
+            worker.update_evacuation(&self.evacuations);
         }
         let peers: Vec<SessionId> = self.peers.keys().copied().collect();
         for session in peers {
-            self.tell_peer_evacuations(session, effects);
+            self.send_evacuations_to_peer(session, effects);
         }
         let agents: Vec<SessionId> = self.agent_sessions.keys().copied().collect();
         for session in agents {
-            self.tell_agent_evacuations(now, session, effects);
+            self.send_evacuations_to_agent(now, session, effects);
         }
         self.refuse_evacuated(now, effects);
     }
 
-    /// Tells an agent what is evacuated. The first message of a session, so that no start
-    /// overtakes it.
-    pub(super) fn tell_agent_evacuations(
+    /// Sends the evacuated zones to an agent. This is the first message of a session, so that
+    /// no start precedes it.
+    pub(super) fn send_evacuations_to_agent(
         &mut self,
         now: Timestamp,
         session: SessionId,
@@ -78,8 +79,9 @@
         }
     }
 
-    /// Tells a peer what is evacuated, before the configuration with which it may begin.
-    pub(super) fn tell_peer_evacuations(
+    /// Sends the evacuated zones to a peer, before any configuration that may let it start
+    /// placing tasks.
+    pub(super) fn send_evacuations_to_peer(
         &self,
         session: SessionId,
         effects: &mut Vec<GatewayEffect>,
@@ -90,32 +92,34 @@
         }
     }
 
-    /// Whether there are workers of `service`, and all of them are in evacuated zones.
+    /// Whether `service` has workers and all of them are in evacuated zones.
     pub(super) fn is_evacuated(&self, now: Timestamp, service: &str) -> bool {
         if self.evacuations.zones.is_empty() {
             return false;
         }
         let serves = |worker: &&Worker| {
             let snapshot = worker.snapshot.as_ref();
-            worker.is_present(now) && snapshot.is_some_and(|known| known.service == service)
+            worker.is_reachable(now) && snapshot.is_some_and(|known| known.service == service)
         };
         let mut workers = self.workers.values().filter(serves).peekable();
         workers.peek().is_some() && workers.all(|worker| worker.is_evacuated)
     }
 
-    /// Refuses the jobs of which nothing was placed and that no worker may run any more.
+    /// Refuses the jobs of which nothing was placed and whose service has only evacuated
+    /// workers.
     fn refuse_evacuated(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
-        let is_over = |job: &&Job| job.is_untouched() && self.is_evacuated(now, &job.queue.service);
-        let over: Vec<JobId> = self
+        let is_excluded =
+            |job: &&Job| job.is_unstarted() && self.is_evacuated(now, &job.queue.service);
+        let excluded: Vec<JobId> = self
             .jobs
             .values()
-            .filter(is_over)
+            .filter(is_excluded)
             .map(|job| job.id)
             .collect();
-        for id in over {
+        for id in excluded {
             let answer = Answer::Refused {
                 reason: Refusal::Evacuated,
-                retry_after: RETRY_SOON,
+                retry_after: RETRY_DELAY,
             };
             self.finish(now, id, answer, effects);
         }
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway, what it wants done, and what it decides.
+//! Inputs, effects and decisions of a gateway.
 
 use std::sync::Arc;
 
@@ -15,181 +15,183 @@
 use crate::leased::task::{JobId, RunId, TaskId};
 use crate::session::{Remote, SessionId};
 
-/// What happens to a gateway.
+/// Input to the gateway's state machine.
 #[derive(Debug)]
 pub enum GatewayEvent {
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Submit {
-        /// The call.
+        /// Number under which the answer is returned.
         call: CallNumber,
-        /// The job.
+        /// Job as submitted.
         request: JobRequest,
     },
-    /// A caller's connection closed before its answer.
+    /// A caller's connection closed before its answer was sent.
     CallerGone {
-        /// The call.
+        /// Number under which the answer is returned.
         call: CallNumber,
     },
-    /// A caller cancels a job.
+    /// A caller requests the cancellation of a job.
     Cancel {
-        /// The call.
+        /// Number under which the answer is returned.
         call: CallNumber,
-        /// The job.
+        /// Id of the job.
         job: JobId,
     },
-    /// A session to an agent is open.
+    /// A session with an agent was opened.
     AgentOpened {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// The agent.
+        /// Name and incarnation of the agent.
         remote: Remote,
     },
-    /// A session to an agent is closed.
+    /// A session with an agent was closed.
     AgentClosed {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
     },
-    /// A message from an agent came.
+    /// A message from an agent was received.
     AgentMessage {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// The message.
+        /// Decoded message.
         message: FromAgent,
     },
-    /// A session to a peer is open.
+    /// A session with a peer gateway was opened.
     PeerOpened {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// Whether this gateway has dialed it.
+        /// Whether this gateway opened the connection.
         is_dialed: bool,
     },
-    /// A session to a peer is closed.
+    /// A session with a peer gateway was closed.
     PeerClosed {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
     },
-    /// A message from a peer came.
+    /// A message from a peer gateway was received.
     PeerMessage {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// The message.
+        /// Decoded message.
         message: ToPeer,
     },
-    /// A configuration was read.
+    /// A configuration was read from the store.
     Configuration(QueueConfiguration),
-    /// It was read which zones are evacuated.
+    /// The evacuated zones were read from the store.
     Evacuations(Evacuations),
     /// A page of the list of gateways was read from the store.
     Listed(Page),
-    /// The process is asked to stop in a planned way.
+    /// The process was asked for a planned stop.
     Stop,
-    /// Time has passed.
+    /// Timers may have expired.
     Tick,
 }
 
-/// What a gateway wants done.
+/// Action that the caller of the state machine has to carry out.
 #[derive(Debug)]
 pub enum GatewayEffect {
-    /// Send to an agent.
+    /// Send a message to an agent.
     ToAgent {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// The message.
+        /// Message to send.
         message: ToAgent,
     },
-    /// Send to a peer.
+    /// Send a message to a peer gateway.
     ToPeer {
-        /// The session.
+        /// Id of the session.
         session: SessionId,
-        /// The message.
+        /// Message to send.
         message: ToPeer,
     },
     /// Close a session.
     Close(SessionId),
-    /// Answer a caller.
+    /// Send the final answer to a call.
     Answer {
-        /// The call.
+        /// Number under which the answer is returned.
         call: CallNumber,
-        /// The answer.
+        /// Outcome sent to the callers.
         answer: Answer,
     },
-    /// A configuration is in force here.
+    /// A newer configuration is in force.
     InForce(Arc<QueueConfiguration>),
-    /// Gateways that are to be dialed until they answer.
+    /// Dial these gateways and retry until they answer.
     Dial {
-        /// The gateways.
+        /// Gateways to which sessions are wanted.
         members: Vec<Member>,
-        /// Whether others, such as seeds, need not be dialed any more.
+        /// Whether all other addresses, such as seeds, need no longer be dialed.
         is_settled: bool,
     },
-    /// Something was decided that operators may want to know.
+    /// Log or count a decision.
     Decided(GatewayDecision),
-    /// No job is left; the process may exit.
+    /// The planned stop is complete; the process may exit.
     Stopped,
 }
 
 /// The final answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The job is done.
+    /// All tasks of the job have completed.
     Completed,
-    /// The job has failed: a task of it failed as often as its queue allows, or takes its
-    /// workers down.
+    /// The job has failed: one of its tasks failed as often as its queue allows, or repeatedly
+    /// crashed its workers.
     Failed,
-    /// The job was given up after a task had been started: it may be handed in
-    /// again, and may then run anew.
+    /// The job was given up after a task may have started. It may be resubmitted, and its
+    /// tasks may then run again.
     GivenUp,
-    /// Nothing of the job was started, and nothing of this call will be.
+    /// No task of the job was started, and none will be for this call.
     Refused {
-        /// Why.
+        /// Cause of the refusal.
         reason: Refusal,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Span,
     },
-    /// The job was cancelled.
+    /// A caller cancelled the job.
     Cancelled,
-    /// There is no such job here.
+    /// This gateway does not hold the job.
     Unknown,
 }
 
-/// Why a job was not taken.
+/// Why a job was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// There is no configuration yet.
+    /// The gateway has no configuration yet.
     NotConfigured,
-    /// No worker of its service can be reached.
+    /// No worker is reachable.
     NoWorker,
-    /// All workers of its service are in evacuated zones.
+    /// All workers of the service are in evacuated zones.
     Evacuated,
-    /// Tasks of its queue take workers down, and those that it is kept to are away.
+    /// The queue is contained because its tasks crash workers, and none of the workers
+    /// reserved for it is usable.
     Contained,
-    /// There was no room in time.
+    /// No capacity became free in time.
     Overloaded,
-    /// The process stops.
+    /// The process is stopping.
     Stopping,
-    /// It asks for something that is not built.
+    /// The job requests a feature that is not implemented.
     Unsupported(Feature),
-    /// Its steps are not in order.
+    /// The steps are not in dependency order, a step has no tasks, or there are too many steps
+    /// or tasks.
     Malformed,
-    /// Its caller's deadline was over.
+    /// The caller's deadline leaves too little time for the job.
     DeadlineOver,
 }
 
-/// What a gateway knows from that a run is over.
+/// Evidence by which a gateway knows that a run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndSource {
-    /// Its agent told.
+    /// The agent reported the end.
     Agent,
-    /// Its agent, which has a session again, does not hold it any more.
+    /// The agent's snapshot on a new session no longer lists the run.
     Snapshot,
-    /// A later agent beside the worker has it under control.
+    /// A newer agent process of the same name controls the worker.
     Successor,
-    /// Nothing was heard of its agent for so long that its lease is over.
+    /// The agent was silent for so long that the lease has expired.
     Silence,
 }
 
 impl EndSource {
-    /// Its name in logs.
+    /// Name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Agent => "agent",
@@ -200,113 +202,114 @@
     }
 }
 
-/// A decision of the gateway, for the logs.
+/// A decision of the gateway, for logs and metrics.
 #[derive(Clone, Debug)]
 pub enum GatewayDecision {
-    /// A job was taken in.
+    /// A job was admitted.
     Taken {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Its queue.
+        /// Settings of the queue.
         queue: Arc<QueueSettings>,
-        /// Tasks in all.
+        /// Total number of tasks of the job.
         tasks: u32,
-        /// Objective by the estimates.
+        /// Response time objective, derived from the estimates.
         objective: Span,
-        /// Version of the configuration that named the queue.
+        /// Version of the configuration that was in force.
         version: u64,
     },
-    /// Tasks were placed.
+    /// Tasks were sent to an agent.
     Placed {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Name of the agent.
+        /// Name of the agent beside the worker.
         agent: String,
-        /// Number of tasks.
+        /// Number of tasks in the batch.
         tasks: u32,
-        /// Age of the report that the choice rests on.
+        /// Age of the agent's report on which the choice was based.
         report_age: Span,
-        /// Time since the job came.
+        /// Time since the caller sent the job.
         age: Span,
     },
-    /// A task came back and will be placed again.
+    /// A task ended without success and is placed again, unless its job ends.
     CameBack {
-        /// The run.
+        /// Id of the ended run.
         run: RunId,
-        /// Name of the agent.
+        /// Name of the agent beside the worker.
         agent: String,
-        /// How its time there ended.
+        /// How the run ended.
         how: EndKind,
-        /// What the gateway knows that from.
+        /// How the gateway learned of the end.
         source: EndSource,
     },
-    /// A job was answered.
+    /// A job's callers were answered.
     Answered {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Name of its queue.
+        /// Settings of the job's queue.
         queue: Arc<QueueSettings>,
-        /// The answer.
+        /// Outcome sent to the callers.
         answer: Answer,
-        /// Time since the job came.
+        /// Time since the caller sent the job.
         age: Span,
-        /// Objective by the estimates.
+        /// Response time objective, derived from the estimates.
         objective: Span,
-        /// Its size, if it was taken in.
+        /// Size group, or `None` if the job was not admitted.
         size: Option<SizeGroup>,
-        /// All its work by the estimates, in core-milliseconds.
+        /// Estimated total work, in core-milliseconds.
         work: u64,
-        /// Where its time went.
+        /// Time spent in each stage.
         stages: StageTimes,
     },
-    /// An agent's offer of room was answered.
+    /// An agent's offer of free resources was used or declined.
     OfferAnswered {
-        /// Whether tasks were sent for it.
+        /// Whether tasks were sent in response.
         is_used: bool,
     },
-    /// A step is done.
+    /// All tasks of a step have completed.
     StepDone {
-        /// Its queue.
+        /// Settings of the queue.
         queue: Arc<QueueSettings>,
-        /// How long its slowest task was expected to take.
+        /// Expected run time of the slowest task.
         expected: Span,
-        /// How long it took.
+        /// Actual time of the slowest task, from placement to completion.
         longest: Span,
     },
-    /// How the gateway stands to the others has changed.
+    /// The view of the other gateways has changed.
     Neighbors(View),
-    /// Which zones are evacuated has changed.
+    /// A newer state of the evacuated zones was received.
     Evacuated(Evacuations),
-    /// Several workers have crashed under a task.
+    /// Several workers have crashed while running a task.
     Suspected {
-        /// The task.
+        /// Id of the suspected task.
         task: TaskId,
-        /// Whether its job is given up for it; else it runs alone next.
+        /// Whether the job ends because of it; otherwise the task next runs exclusively on a
+        /// worker.
         is_given_up: bool,
-        /// The lives that have ended.
+        /// Incarnations of the crashed workers.
         workers: Vec<Arc<str>>,
     },
-    /// A queue is kept to a part of the workers from now on, or no longer.
+    /// Containment of a queue began or ended.
     Contained {
-        /// Its name.
+        /// Name of the queue.
         queue: String,
-        /// Which of the two.
+        /// `true` if containment began, `false` if it ended.
         is_contained: bool,
     },
-    /// A job's callers have gone.
+    /// All callers of a job have disconnected.
     Abandoned {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Time since the job came.
+        /// Time since the caller sent the job.
         age: Span,
     },
-    /// An agent's tasks are over because nothing was heard of it.
+    /// An agent was silent for so long that its tasks are considered lost.
     AgentLapsed {
-        /// Name of the agent.
+        /// Name of the agent beside the worker.
         agent: String,
-        /// Tasks that were there.
+        /// Number of lost tasks.
         tasks: usize,
-        /// Time since it was heard.
+        /// Time since the agent was last heard.
         silence: Span,
     },
 }
--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! Jobs in, answers out.
+//! Admission of jobs, refusals, and answers to callers.
 
 use laurelstile_types::time::{Span, Timestamp};
 
@@ -7,22 +7,23 @@
 use super::{Answer, GatewayDecision, GatewayEffect, LeasedGateway, Refusal};
 use crate::leased::task::JobId;
 
-/// When to come back after a refusal that time alone mends.
-pub(super) const RETRY_SOON: Span = Span::from_millis(1_000);
-/// When to come back after a refusal for want of room.
-const RETRY_AFTER_OVERLOAD: Span = Span::from_millis(500);
+/// Retry delay after a refusal whose cause is temporary, such as a missing worker or
+/// configuration.
+pub(super) const RETRY_DELAY: Span = Span::from_millis(1_000);
+/// Retry delay after a refusal for lack of capacity.
+const OVERLOAD_RETRY_DELAY: Span = Span::from_millis(500);
 
-/// How long a gateway without any worker lets jobs wait for one, as if the workers
-/// were full. After a loss of power the agents are back within this time; a longer
-/// outage is told to callers at once.
-const WORKER_PATIENCE: Span = Span::from_millis(1_000);
+/// How long jobs are queued while there is no worker at all. Agents reconnect within this time
+/// after a power failure; during longer outages jobs are refused at once.
+const NO_WORKER_MAX_WAIT: Span = Span::from_millis(1_000);
 
-/// A job is refused at once if its caller will wait for less than this part of the
-/// time that it is expected to run: half, since the expectation is rough.
-const LEAST_TIME_DIVISOR: u64 = 2;
+/// A job is refused at once if its caller's remaining time is less than its expected run time
+/// divided by this. The divisor allows for the inaccuracy of the estimate.
+const MIN_TIME_DIVISOR: u64 = 2;
 
-/// A stopping gateway still takes a job if so many times its objective is left.
-const STOPPING_MARGIN: u64 = 2;
+/// After the overlap, a stopping gateway still admits a job if this many times its objective
+/// is left before the limit.
+const STOPPING_OBJECTIVE_FACTOR: u64 = 2;
 
 impl LeasedGateway {
     pub(super) fn on_submit(
@@ -33,7 +34,7 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         if let Some(job) = self.jobs.get_mut(&request.id) {
-            // The same job again: it stays one job.
+            // A resubmission joins the job that is already held.
             job.calls.push(call);
             self.calls.insert(call, request.id);
             return;
@@ -42,25 +43,27 @@
         let queue = request.queue.clone();
         let waited = self.way_in.delay(now);
         request.time_left = Span(request.time_left.0.saturating_sub(waited.0));
-        self.note_workers(now);
+        self.update_worker_absence(now);
         if let Some(reason) = self.refusal_of(now, &request) {
-            let until = self.is_shut_out(now, &request.queue).unwrap_or_default();
+            let until = self
+                .containment_retry_at(now, &request.queue)
+                .unwrap_or_default();
             let answer = Answer::Refused {
                 reason,
-                retry_after: Span(until.since(now).0.max(RETRY_SOON.0)),
+                retry_after: Span(until.since(now).0.max(RETRY_DELAY.0)),
             };
-            self.answer_at_once(call, &request, waited, answer, effects);
+            self.answer_unadmitted(call, &request, waited, answer, effects);
             return;
         }
-        if let Some(answer) = self.known_end_of(now, id) {
-            self.answer_at_once(call, &request, waited, answer, effects);
+        if let Some(answer) = self.known_outcome(now, id) {
+            self.answer_unadmitted(call, &request, waited, answer, effects);
             return;
         }
         let arrival = Timestamp(now.0.saturating_sub(waited.0));
         let mut job = Job::new(arrival, call, request, &self.run_times);
         job.way_in = waited;
-        self.set_known_apart(&mut job);
-        job.group = self.shares.group_of(&job.queue.name, job.work());
+        self.separate_crashed_tasks(&mut job);
+        job.group = self.on_time_rates.group_of(&job.queue.name, job.work());
         effects.push(GatewayEffect::Decided(GatewayDecision::Taken {
             job: id,
             queue,
@@ -73,21 +76,22 @@
         self.timers.insert((job.refuse_at, id));
         self.timers.insert((job.deadline, id));
         self.jobs.insert(id, job);
-        if self.standstill.is_reading(now) {
-            self.pause(id, self.standstill.reading_until());
+        if self.suspension.is_reading_backlog(now) {
+            self.delay_placement(id, self.suspension.backlog_read_until());
         }
     }
 
-    /// How a job has ended that is handed in again, if that is known.
-    fn known_end_of(&self, now: Timestamp, id: JobId) -> Option<Answer> {
+    /// The outcome of an earlier submission of the job, if it is known to be cancelled or to
+    /// have failed.
+    fn known_outcome(&self, now: Timestamp, id: JobId) -> Option<Answer> {
         if self.cancels.contains(now, id) {
             return Some(Answer::Cancelled);
         }
         self.poison_task_of(id).map(|_| Answer::Failed)
     }
 
-    /// Answers a call whose job is not taken.
-    fn answer_at_once(
+    /// Answers a call whose job is not admitted.
+    fn answer_unadmitted(
         &self,
         call: CallNumber,
         request: &JobRequest,
@@ -121,24 +125,24 @@
         if let Some(feature) = request.unsupported.first() {
             return Some(Refusal::Unsupported(*feature));
         }
-        if request.time_left < self.least_time(request) {
+        if request.time_left < self.min_time_left(request) {
             return Some(Refusal::DeadlineOver);
         }
-        if self.is_closed_to(now, request) {
+        if self.is_too_late_to_admit(now, request) {
             return Some(Refusal::Stopping);
         }
         if self.is_evacuated(now, &request.queue.service) {
             return Some(Refusal::Evacuated);
         }
-        if self.is_shut_out(now, &request.queue).is_some() {
+        if self.containment_retry_at(now, &request.queue).is_some() {
             return Some(Refusal::Contained);
         }
-        let patience_ends = self.without_worker_since?.after(WORKER_PATIENCE);
-        (now > patience_ends).then_some(Refusal::NoWorker)
+        let wait_ends = self.without_worker_since?.after(NO_WORKER_MAX_WAIT);
+        (now > wait_ends).then_some(Refusal::NoWorker)
     }
 
-    /// Notes since when there is no worker at all.
-    fn note_workers(&mut self, now: Timestamp) {
+    /// Updates the time since which there is no worker at all.
+    fn update_worker_absence(&mut self, now: Timestamp) {
         if self.has_worker(now) {
             self.without_worker_since = None;
         } else {
@@ -146,27 +150,26 @@
         }
     }
 
-    /// A job whose caller goes before this has passed is not worth a start: callers
-    /// whose connection was taken late have waited elsewhere already.
-    fn least_time(&self, request: &JobRequest) -> Span {
+    /// Minimum remaining time of a caller for which starting a job is worthwhile.
+    fn min_time_left(&self, request: &JobRequest) -> Span {
         let expected = self
             .run_times
-            .expected(&request.queue.name, request.chain());
-        Span((expected.0 / LEAST_TIME_DIVISOR).max(1))
+            .expected(&request.queue.name, request.longest_chain());
+        Span((expected.0 / MIN_TIME_DIVISOR).max(1))
     }
 
-    /// Whether the process stops and the job comes too late. Callers that have kept
-    /// their connections may still hand in, after the overlap, what is sure to be done
-    /// before the limit.
-    fn is_closed_to(&self, now: Timestamp, request: &JobRequest) -> bool {
+    /// Whether the process is stopping and the job comes too late. After the overlap, callers
+    /// on open connections may still submit jobs that are certain to complete before the
+    /// limit.
+    fn is_too_late_to_admit(&self, now: Timestamp, request: &JobRequest) -> bool {
         let Some(since) = self.stopping_since else {
             return false;
         };
         let times = self.identity.stop;
-        let objective = request.queue.objective(request.chain());
-        let done_by = now.after(Span(objective.0 * STOPPING_MARGIN));
-        let is_short = done_by <= since.after(times.limit);
-        self.stop_reported || (now >= since.after(times.overlap) && !is_short)
+        let objective = request.queue.objective(request.longest_chain());
+        let done_by = now.after(Span(objective.0 * STOPPING_OBJECTIVE_FACTOR));
+        let fits_before_limit = done_by <= since.after(times.limit);
+        self.stop_reported || (now >= since.after(times.overlap) && !fits_before_limit)
     }
 
     pub(super) fn on_caller_gone(
@@ -193,7 +196,7 @@
         self.remove_job(now, id, effects);
     }
 
-    /// Answers a job's callers, and stops what is left of it.
+    /// Answers a job's callers, removes the job and stops its tasks.
     pub(super) fn finish(
         &mut self,
         now: Timestamp,
@@ -221,10 +224,10 @@
             work: job.work(),
             stages: job.stages(now),
         }));
-        let is_in_time = answer == Answer::Completed && age <= job.objective;
+        let is_on_time = answer == Answer::Completed && age <= job.objective;
         if answer != Answer::Cancelled {
-            self.shares
-                .note(now, &job.queue.name, job.group, is_in_time);
+            self.on_time_rates
+                .record(now, &job.queue.name, job.group, is_on_time);
         }
         self.remove_job(now, id, effects);
     }
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Refuses or gives up the jobs whose time has come.
+    /// Re-examines the jobs whose timers have expired.
     pub(super) fn run_timers(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         while let Some((at, id)) = self.timers.first().copied() {
             if at > now {
@@ -256,15 +259,15 @@
         }
     }
 
-    /// Ends all jobs: the process is about to end.
+    /// Ends all jobs at the limit of a planned stop.
     pub(super) fn end_all_jobs(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in jobs {
-            let is_untouched = self.jobs.get(&id).is_some_and(Job::is_untouched);
-            let answer = if is_untouched {
+            let is_unstarted = self.jobs.get(&id).is_some_and(Job::is_unstarted);
+            let answer = if is_unstarted {
                 Answer::Refused {
                     reason: Refusal::Stopping,
-                    retry_after: RETRY_SOON,
+                    retry_after: RETRY_DELAY,
                 }
             } else {
                 Answer::GivenUp
@@ -273,11 +276,11 @@
         }
     }
 
-    fn refusal_for_want_of_room(&self, now: Timestamp) -> Answer {
+    fn capacity_refusal(&self, now: Timestamp) -> Answer {
         let (reason, retry_after) = if self.has_worker(now) {
-            (Refusal::Overloaded, RETRY_AFTER_OVERLOAD)
+            (Refusal::Overloaded, OVERLOAD_RETRY_DELAY)
         } else {
-            (Refusal::NoWorker, RETRY_SOON)
+            (Refusal::NoWorker, RETRY_DELAY)
         };
         Answer::Refused {
             reason,
@@ -285,7 +288,7 @@
         }
     }
 
-    /// Ends a job that has had its time.
+    /// Ends a job whose refusal time or deadline has passed.
     pub(super) fn refuse_or_give_up(
         &mut self,
         now: Timestamp,
@@ -295,14 +298,14 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let is_over = now >= job.deadline;
-        if !is_over && self.standstill.is_reading(now) {
+        let is_past_deadline = now >= job.deadline;
+        if !is_past_deadline && self.suspension.is_reading_backlog(now) {
             return;
         }
-        if job.is_untouched() && (now >= job.refuse_at || is_over) {
-            let answer = self.refusal_for_want_of_room(now);
+        if job.is_unstarted() && (now >= job.refuse_at || is_past_deadline) {
+            let answer = self.capacity_refusal(now);
             self.finish(now, id, answer, effects);
-        } else if is_over {
+        } else if is_past_deadline {
             self.finish(now, id, Answer::GivenUp, effects);
         }
     }
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A job as its gateway keeps it: steps, tasks, attempts.
+//! The state of a job at its gateway: steps, tasks and attempts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,71 +13,71 @@
 use super::shares::SizeGroup;
 use super::stages::StageTimes;
 
-/// Number of a caller's request, new in this process.
+/// Number of a caller's request, unique within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNumber(pub u64);
 
-/// A job as its caller hands it in.
+/// A job as submitted by its caller.
 #[derive(Clone, Debug)]
 pub struct JobRequest {
-    /// Its id, chosen by the caller.
+    /// Job id, chosen by the caller.
     pub id: JobId,
-    /// Its queue.
+    /// Settings of the queue that the job was submitted to.
     pub queue: Arc<QueueSettings>,
-    /// Its input, as it came.
+    /// The input, unmodified.
     pub input: JobInput,
-    /// Its steps.
+    /// The steps, in an order in which each depends only on earlier ones.
     pub steps: Vec<StepRequest>,
-    /// How long the caller waits for an answer.
+    /// Time until the caller's deadline.
     pub time_left: Span,
-    /// What it asks for that is not built.
+    /// Requested features that are not implemented; any of them causes a refusal.
     pub unsupported: Vec<Feature>,
 }
 
-/// A step of a job.
+/// A step of a submitted job.
 #[derive(Clone, Debug)]
 pub struct StepRequest {
     /// Number of tasks.
     pub count: u32,
-    /// What each needs.
+    /// Resources that each task needs.
     pub room: Room,
-    /// A rough guess of how long each takes.
+    /// Estimated run time of each task.
     pub estimate: Span,
-    /// Steps that must be done before.
+    /// Indices of the steps that must be done before this one starts.
     pub after: Vec<usize>,
-    /// Label that the worker must have.
+    /// Label that the worker must have, or `None` if any worker will do.
     pub label: Option<String>,
-    /// Label of the workers near the step's data.
+    /// Label of the workers near the step's data, which are preferred.
     pub near: Option<String>,
 }
 
-/// Something that a job may ask for and that is not built yet.
+/// A feature that a job may request but that is not implemented.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feature {
-    /// The job is to be kept until it is done.
+    /// Persistence of the job until it is done.
     Kept,
-    /// Tasks that work only jointly.
+    /// Gang scheduling: the tasks run only if all run at the same time.
     Gang,
-    /// A bound on the tasks of a step on one worker.
+    /// A limit on the tasks of a step on one worker.
     Spread,
-    /// Tasks that last until the job is cancelled.
+    /// Service tasks that run until the job is cancelled.
     Lasting,
-    /// A job that runs at set times.
+    /// Scheduled repetition of the job.
     Repeated,
-    /// Tasks that use what others leave.
+    /// Best-effort tasks that use only otherwise idle resources.
     Filling,
-    /// Workers that an advisor names.
+    /// Placement on workers named by an external advisor.
     Advised,
 }
 
-/// Most steps of a job.
-pub const MOST_STEPS: usize = 64;
-/// Most tasks of a job.
-pub const MOST_TASKS: u32 = 10_000;
+/// Maximum number of steps of a job.
+pub const MAX_STEPS: usize = 64;
+/// Maximum number of tasks of a job, over all steps.
+pub const MAX_TASKS: u32 = 10_000;
 
 impl JobRequest {
-    /// Whether the steps are in order: each comes after earlier ones only, and
-    /// there are neither too many nor none.
+    /// Whether each step depends only on earlier ones, has at least one task, and the limits
+    /// on steps and tasks are kept.
     pub fn is_well_formed(&self) -> bool {
         let has_order = self
             .steps
@@ -87,13 +87,13 @@
         let tasks: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         has_order
             && !self.steps.is_empty()
-            && self.steps.len() <= MOST_STEPS
+            && self.steps.len() <= MAX_STEPS
             && self.steps.iter().all(|step| step.count > 0)
-            && tasks <= u64::from(MOST_TASKS)
+            && tasks <= u64::from(MAX_TASKS)
     }
 
-    /// The longest chain of steps, by the estimates.
-    pub fn chain(&self) -> Span {
+    /// Estimated run time of the longest chain of dependent steps.
+    pub fn longest_chain(&self) -> Span {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let begin = step
@@ -108,55 +108,56 @@
     }
 }
 
-/// Where a task stands.
+/// State of a task at the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It waits to be placed, or for earlier steps.
+    /// Waiting to be placed, or for earlier steps.
     Waiting,
-    /// It is at an agent.
+    /// Sent to an agent.
     Placed,
-    /// It is done.
+    /// Completed.
     Done,
 }
 
-/// A task of a job.
+/// A task of a job, as its gateway tracks it.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
-    /// Where it stands.
+    /// Current state.
     pub state: TaskState,
-    /// Number of its latest run.
+    /// Number of the latest run; 0 before the first placement.
     pub run: RunNumber,
-    /// Runs that failed by its own fault, as far as can be told.
+    /// Failed runs on workers that are not suspected of causing failures.
     pub failures: u32,
-    /// Runs that failed on workers that had failed others too.
+    /// Failed runs on workers where other tasks had failed as well.
     pub failures_on_suspects: u32,
-    /// Runs of it that stood still.
+    /// Runs that were stopped because they made no progress.
     pub stalls: u32,
-    /// When it was last placed.
+    /// Time of the latest placement.
     pub placed: Timestamp,
 }
 
-/// A step under way.
+/// State of a step of a job.
 #[derive(Debug)]
 pub struct Step {
-    /// What was asked for.
+    /// The submitted step, with its current run time estimate.
     pub request: StepRequest,
-    /// Its tasks.
+    /// State of each task, by index.
     pub tasks: Vec<Task>,
-    /// Tasks that wait and may be placed together, by index.
+    /// Indices of waiting tasks that may share a batch.
     pub waiting: BTreeSet<u32>,
-    /// Tasks that wait and go one by one: workers have crashed under them.
-    pub apart: BTreeSet<u32>,
-    /// Tasks that are done.
+    /// Indices of waiting tasks that are placed separately, because a worker has crashed under
+    /// them or they have stalled.
+    pub separated: BTreeSet<u32>,
+    /// Number of completed tasks.
     pub done: u32,
-    /// How long its caller guessed that each task takes.
-    pub guess: Span,
-    /// The longest that a task has taken from its placement to its end.
+    /// The caller's estimate of the run time of each task.
+    pub caller_estimate: Span,
+    /// The longest time from the placement of a task to its completion.
     pub longest: Span,
 }
 
 impl Step {
-    fn new(request: StepRequest, guess: Span) -> Self {
+    fn new(request: StepRequest, caller_estimate: Span) -> Self {
         let task = Task {
             state: TaskState::Waiting,
             run: RunNumber(0),
@@ -166,41 +167,39 @@
             placed: Timestamp::default(),
         };
         Self {
-            guess,
+            caller_estimate,
             longest: Span::default(),
             tasks: vec![task; request.count as usize],
             waiting: (0..request.count).collect(),
-            apart: BTreeSet::new(),
+            separated: BTreeSet::new(),
             done: 0,
             request,
         }
     }
 
-    /// Whether all its tasks are done.
+    /// Whether every task has completed.
     pub fn is_done(&self) -> bool {
         self.done == self.request.count
     }
 
-    /// Number of its tasks that wait.
+    /// Number of tasks that wait to be placed.
     pub fn waiting_count(&self) -> usize {
-        self.waiting.len() + self.apart.len()
+        self.waiting.len() + self.separated.len()
     }
 
-    /// Whether tasks of it wait.
     fn has_waiting(&self) -> bool {
-        !self.waiting.is_empty() || !self.apart.is_empty()
+        !self.waiting.is_empty() || !self.separated.is_empty()
     }
 
-    /// A run of a task was stopped since it would have taken `projected`. The
-    /// worker may be slow, or the caller's guess too short: the next worker
-    /// gets that much time, so that no task is stopped for slowness again and
-    /// again.
+    /// Raises the estimate to the projected run time of a run that was stopped as too slow.
+    /// The caller's estimate may be too short rather than the worker too slow; without this,
+    /// every worker would stop the task again.
     pub fn raise_estimate(&mut self, projected: Span) {
         self.request.estimate = self.request.estimate.max(projected);
     }
 }
 
-/// The name of a task of a job that runs once.
+/// The id of a task of a job that is not repeated.
 pub fn task_id(job: JobId, step: usize, index: u32) -> TaskId {
     TaskId {
         job,
@@ -210,70 +209,71 @@
     }
 }
 
-/// A job that has not ended.
+/// State of a job that has not ended.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id.
+    /// Job id, chosen by the caller.
     pub id: JobId,
-    /// The callers that wait for its end.
+    /// Calls that wait for the outcome; more than one after a resubmission.
     pub calls: Vec<CallNumber>,
-    /// Its queue.
+    /// Settings of the queue that the job was submitted to.
     pub queue: Arc<QueueSettings>,
-    /// Its input.
+    /// The input that is sent with each start.
     pub input: JobInput,
-    /// When its caller sent it.
+    /// When the caller sent the job, corrected by the ingress delay.
     pub arrival: Timestamp,
-    /// How long it had waited on the way in when the gateway saw it.
+    /// Estimated delay between the caller's sending and the arrival at the gateway.
     pub way_in: Span,
-    /// When the first of its tasks was sent to an agent.
+    /// When the first task was sent to an agent.
     pub first_placed: Option<Timestamp>,
-    /// Response time at which it is aimed, by the estimates.
+    /// Response time objective, derived from the estimates.
     pub objective: Span,
-    /// When the tasks of a ready step must start to meet the objective.
+    /// Latest start time of a ready step's tasks that still meets the objective.
     pub latest_start: Timestamp,
-    /// Until when it may be refused for want of room.
+    /// When the job is refused if nothing of it was placed by then.
     pub refuse_at: Timestamp,
-    /// When it is given up.
+    /// When the job is given up.
     pub deadline: Timestamp,
-    /// No task is placed before this time.
+    /// No task is placed before this time (backoff).
     pub not_before: Timestamp,
-    /// Whether a task may have been started.
+    /// Whether any task may have started, so that the job can no longer be refused as not run.
     pub may_have_started: bool,
-    /// Tasks at agents.
+    /// Number of tasks at agents.
     pub placed: u32,
-    /// Times that placements came back without a start.
-    pub bounces: u32,
-    /// When that last happened.
-    pub bounced: Option<Timestamp>,
-    /// Its size, among the jobs of its queue.
+    /// Number of distinct times at which agents returned starts as not started.
+    pub returned_starts: u32,
+    /// When an agent last returned a start as not started.
+    pub last_returned: Option<Timestamp>,
+    /// Size relative to the other jobs of the queue.
     pub group: SizeGroup,
-    /// Its steps.
+    /// The steps, in an order in which each depends only on earlier ones.
     pub steps: Vec<Step>,
 }
 
-/// The share of the objective within which a job is started or refused.
-const DECISION_SHARE: u64 = 4;
-/// Time on the way to and from the caller, which counts too.
-const CALLER_DISTANCE: Span = Span::from_millis(8);
-/// How long before the caller's deadline the last answer leaves.
+/// A job is placed or refused within this fraction of its objective.
+const DECISION_DIVISOR: u64 = 4;
+/// Network round trip between caller and gateway, which counts towards the response time.
+const CALLER_ROUND_TRIP: Span = Span::from_millis(8);
+/// Time before the caller's deadline at which the final answer is sent.
 const ANSWER_MARGIN: Span = Span::from_millis(20);
 
 impl Job {
-    /// A job that its caller sent now; `run_times` correct its caller's guesses.
+    /// Creates the state of a job that its caller sent at `now`; `run_times` corrects the
+    /// caller's estimates.
     pub fn new(
         now: Timestamp,
         call: CallNumber,
         mut request: JobRequest,
         run_times: &RunTimes,
     ) -> Self {
-        let guesses: Vec<Span> = request.steps.iter().map(|step| step.estimate).collect();
+        let caller_estimates: Vec<Span> = request.steps.iter().map(|step| step.estimate).collect();
         for step in &mut request.steps {
             step.estimate = run_times.expected(&request.queue.name, step.estimate);
         }
-        let chain = request.chain();
+        let chain = request.longest_chain();
         let objective = request.queue.objective(chain);
-        let slack = Span(objective.0.saturating_sub(chain.0 + CALLER_DISTANCE.0));
-        let decision = Span((objective.0 / DECISION_SHARE).saturating_sub(CALLER_DISTANCE.0));
+        let slack = Span(objective.0.saturating_sub(chain.0 + CALLER_ROUND_TRIP.0));
+        let decision = Span((objective.0 / DECISION_DIVISOR).saturating_sub(CALLER_ROUND_TRIP.0));
         Self {
             id: request.id,
             calls: vec![call],
@@ -289,35 +289,35 @@
             not_before: now,
             may_have_started: false,
             placed: 0,
-            bounces: 0,
-            bounced: None,
+            returned_starts: 0,
+            last_returned: None,
             group: SizeGroup::Ordinary,
             steps: request
                 .steps
                 .into_iter()
-                .zip(guesses)
-                .map(|(step, guess)| Step::new(step, guess))
+                .zip(caller_estimates)
+                .map(|(step, caller_estimate)| Step::new(step, caller_estimate))
                 .collect(),
         }
     }
 
-    /// Where its time has gone until `now`.
+    /// Time spent in each stage until `now`.
     pub fn stages(&self, now: Timestamp) -> StageTimes {
-        let seen = self.arrival.after(self.way_in);
+        let received_at = self.arrival.after(self.way_in);
         let first_placed = self.first_placed.unwrap_or(now);
         StageTimes {
             way_in: self.way_in,
-            waiting: first_placed.since(seen),
+            waiting: first_placed.since(received_at),
             working: now.since(first_placed),
         }
     }
 
-    /// Whether all steps are done.
+    /// Whether every step has completed.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(Step::is_done)
     }
 
-    /// Whether the steps before `step` are done.
+    /// Whether the steps that `step` depends on are done.
     pub fn is_ready(&self, step: usize) -> bool {
         self.steps[step]
             .request
@@ -326,7 +326,7 @@
             .all(|before| self.steps[*before].is_done())
     }
 
-    /// All work by the estimates, in core-milliseconds.
+    /// Estimated total work, in core-milliseconds.
     pub fn work(&self) -> u64 {
         let of_step = |step: &Step| {
             let cores = u64::from(step.request.room.cpu_millis) * u64::from(step.request.count);
@@ -335,45 +335,45 @@
         self.steps.iter().map(of_step).sum()
     }
 
-    /// Steps with tasks that may be placed now.
+    /// Indices of the steps with tasks that may be placed now.
     pub fn placeable(&self) -> Vec<usize> {
         (0..self.steps.len())
             .filter(|step| self.steps[*step].has_waiting() && self.is_ready(*step))
             .collect()
     }
 
-    /// Whether a task may be placed now.
+    /// Whether any task may be placed now.
     pub fn has_placeable(&self) -> bool {
         (0..self.steps.len()).any(|step| self.steps[step].has_waiting() && self.is_ready(step))
     }
 
-    /// Whether it can still be refused as not run: nothing is at an agent, and
-    /// nothing may have been started.
-    pub fn is_untouched(&self) -> bool {
+    /// Whether the job can still be refused as not run: no task is at an agent and none may
+    /// have started.
+    pub fn is_unstarted(&self) -> bool {
         self.placed == 0 && !self.may_have_started
     }
 
-    /// From now on a task goes by itself.
-    pub fn set_apart(&mut self, id: TaskId) {
+    /// Moves a waiting task to those that are placed separately.
+    pub fn separate(&mut self, id: TaskId) {
         let step = self.steps.get_mut(id.step as usize);
         if let Some(step) = step
             && step.waiting.remove(&id.index)
         {
-            step.apart.insert(id.index);
+            step.separated.insert(id.index);
         }
     }
 
-    /// The tasks that wait and go one by one.
-    pub fn waiting_apart(&self) -> impl Iterator<Item = TaskId> {
+    /// Waiting tasks that are placed separately.
+    pub fn waiting_separated(&self) -> impl Iterator<Item = TaskId> {
         let id = self.id;
         let steps = self.steps.iter().enumerate();
         steps.flat_map(move |(step, state)| {
-            let tasks = state.apart.iter();
+            let tasks = state.separated.iter();
             tasks.map(move |index| task_id(id, step, *index))
         })
     }
 
-    /// The task `id`.
+    /// The task with this id, or `None` if the job has no such step or index.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let step = self.steps.get_mut(id.step as usize)?;
         step.tasks.get_mut(id.index as usize)
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! The gateway to leased workers: takes jobs, places their tasks on workers
-//! with room, and answers each caller once.
+//! The gateway for leased workers: admits jobs, places their tasks on workers with free
+//! capacity, and answers each caller once.
 //!
-//! Every gateway places its own callers' tasks. Agents alone decide what
-//! starts, so gateways need no agreement; what one of them leaves behind its
-//! agents stop, and its callers hand in again.
+//! Every gateway places only the tasks of its own callers. Agents alone decide what starts, so
+//! gateways need no consensus. If a gateway is lost, agents stop its tasks and callers
+//! resubmit their jobs.
 
 mod cancels;
 mod candidate;
@@ -39,7 +39,7 @@
 use super::messages::{FromAgent, FromAgentBody, Member, ToAgent, ToAgentBody};
 use super::task::{JobId, TaskId};
 use crate::session::{Remote, SessionId};
-use cancels::Cancels;
+use cancels::CancelLog;
 use containment::Containment;
 pub use events::{Answer, EndSource, GatewayDecision, GatewayEffect, GatewayEvent, Refusal};
 use job::{CallNumber, Job};
@@ -47,31 +47,33 @@
 use peers::Peer;
 use queues::QueueConfiguration;
 use run_times::RunTimes;
-use shares::Shares;
-use standstill::Standstill;
+use shares::OnTimeRates;
+use standstill::ProcessSuspension;
 use start_window::StartWindow;
 use way_in::WayIn;
 use workers::Worker;
 
-/// What distinguishes one gateway process from another.
+/// Identity and stop settings of a gateway process.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name, its zone, and the address at which its sessions are accepted.
+    /// Name, zone, and the address on which it accepts sessions.
     pub member: Member,
-    /// Times of a planned stop.
+    /// Time limits of a planned stop of this process.
     pub stop: StopTimes,
 }
 
-/// Times of a planned stop, counted from its begin.
+/// Time limits of a planned stop, counted from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct StopTimes {
-    /// How long jobs are still taken, for callers that have not moved on.
+    /// How long new jobs are still admitted, for callers that have not yet moved to another
+    /// gateway.
     pub overlap: Span,
-    /// When every job that is left is given up.
+    /// When all remaining jobs are ended.
     pub limit: Span,
 }
 
-/// The gateway's machine.
+/// The gateway's state machine. It does no I/O: it takes [`GatewayEvent`]s and returns
+/// [`GatewayEffect`]s.
 #[derive(Debug)]
 pub struct LeasedGateway {
     identity: Identity,
@@ -80,40 +82,34 @@
     workers: BTreeMap<Incarnation, Worker>,
     agent_sessions: BTreeMap<SessionId, Incarnation>,
     peers: BTreeMap<SessionId, Peer>,
-    /// The peer that was last asked for its configuration, and when.
-    asked_peer: Option<(SessionId, Timestamp)>,
+    /// The session and time of the latest request for a configuration.
+    configuration_request: Option<(SessionId, Timestamp)>,
     membership: Membership,
     jobs: BTreeMap<JobId, Job>,
     calls: BTreeMap<CallNumber, JobId>,
-    /// Jobs with tasks to be placed, the most urgent first.
+    /// Jobs with placeable tasks, ordered by latest start time.
     waiting: BTreeSet<(Timestamp, JobId)>,
-    /// When to look at a job again: it is refused, given up, or tried again.
+    /// When to re-examine a job: to refuse it, give it up, or retry placement.
     timers: BTreeSet<(Timestamp, JobId)>,
-    /// Waiting jobs of which agents were told.
+    /// Waiting jobs that were announced to agents.
     announced: BTreeMap<JobId, AnnouncedJob>,
-    /// How long tasks take.
     run_times: RunTimes,
-    /// Who was served lately.
-    shares: Shares,
-    /// How long messages and calls wait on the way in.
+    on_time_rates: OnTimeRates,
     way_in: WayIn,
-    /// Starts under way to agents.
+    /// Bounds the bytes of start batches in flight to agents.
     start_window: StartWindow,
-    /// Jobs that were cancelled of late.
-    cancels: Cancels,
-    /// Workers that have crashed, and what ran there.
+    cancels: CancelLog,
     crashes: CrashLog,
-    /// Queues whose tasks take workers down.
     containment: Containment,
-    /// When a job first came while there was no worker at all.
+    /// When the first job was submitted during the current period without any worker.
     without_worker_since: Option<Timestamp>,
     stopping_since: Option<Timestamp>,
     stop_reported: bool,
-    standstill: Standstill,
+    suspension: ProcessSuspension,
 }
 
 impl LeasedGateway {
-    /// A gateway without a configuration.
+    /// Creates a gateway without a configuration. It refuses jobs until it receives one.
     pub fn new(identity: Identity) -> Self {
         Self {
             membership: Membership::new(identity.member.clone()),
@@ -123,64 +119,65 @@
             workers: BTreeMap::new(),
             agent_sessions: BTreeMap::new(),
             peers: BTreeMap::new(),
-            asked_peer: None,
+            configuration_request: None,
             jobs: BTreeMap::new(),
             calls: BTreeMap::new(),
             waiting: BTreeSet::new(),
             timers: BTreeSet::new(),
             announced: BTreeMap::new(),
             run_times: RunTimes::default(),
-            shares: Shares::default(),
+            on_time_rates: OnTimeRates::default(),
             way_in: WayIn::default(),
             start_window: StartWindow::default(),
-            cancels: Cancels::default(),
+            cancels: CancelLog::default(),
             crashes: CrashLog::default(),
             containment: Containment::default(),
             without_worker_since: None,
             stopping_since: None,
             stop_reported: false,
-            standstill: Standstill::default(),
+            suspension: ProcessSuspension::default(),
         }
     }
 
-    /// The configuration in force here.
+    /// The configuration in force, or `None` before the first one was received.
     pub fn configuration(&self) -> Option<&Arc<QueueConfiguration>> {
         self.configuration.as_ref()
     }
 
-    /// Whether new connections are wanted.
+    /// Whether the gateway should receive new connections: it has a configuration and a
+    /// worker, and is not stopping.
     pub fn is_ready(&self, now: Timestamp) -> bool {
         self.stopping_since.is_none() && self.configuration.is_some() && self.has_worker(now)
     }
 
-    /// Whether any worker is under the control of an agent that is there.
+    /// Whether any connected agent controls a worker.
     fn has_worker(&self, now: Timestamp) -> bool {
         self.workers
             .values()
-            .any(|worker| worker.is_present(now) && worker.snapshot.is_some())
+            .any(|worker| worker.is_reachable(now) && worker.snapshot.is_some())
     }
 
-    /// Whether a job is here and has not ended.
+    /// Whether this gateway holds the job and it has not ended.
     pub fn has_job(&self, job: JobId) -> bool {
         self.jobs.contains_key(&job)
     }
 
-    /// Jobs that have not ended.
+    /// Number of jobs that have not ended.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The gateways that are known here, this one among them.
+    /// The known gateways, including this one.
     pub fn known_members(&self) -> impl Iterator<Item = &Member> {
         self.membership.members()
     }
 
-    /// Whether the process is stopping.
+    /// Whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.is_some()
     }
 
-    /// Takes in one event. Call [`LeasedGateway::flush`] after a batch.
+    /// Handles one event. Call [`LeasedGateway::flush`] after each batch of events.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -206,9 +203,9 @@
                 self.on_peer_message(now, session, message, effects);
             }
             GatewayEvent::Configuration(configuration) => {
-                self.adopt(configuration, effects);
+                self.install(configuration, effects);
             }
-            GatewayEvent::Evacuations(news) => self.on_evacuations_read(now, news, effects),
+            GatewayEvent::Evacuations(update) => self.on_evacuations_read(now, update, effects),
             GatewayEvent::Listed(page) => self.membership.on_listed(now, page),
             GatewayEvent::Stop => {
                 self.stopping_since.get_or_insert(now);
@@ -217,28 +214,29 @@
         }
     }
 
-    /// Does what the events since the last flush, or time, gave rise to.
+    /// Acts on the events since the last flush and on elapsed timers.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
-        self.note_awake(now);
-        self.end_lapsed_agents(now, effects);
+        self.detect_suspension(now);
+        self.expire_silent_agents(now, effects);
         self.start_window.expire(now);
         self.review_containment(now, effects);
-        self.use_offers(now, effects);
+        self.answer_offers(now, effects);
         self.place_waiting(now, effects);
         self.run_timers(now, effects);
         self.announce_waiting(now, effects);
-        self.ask_for_configuration(now, effects);
-        self.tend_membership(now, effects);
+        self.request_configuration(now, effects);
+        self.flush_membership(now, effects);
         self.send_heartbeats(now, effects);
         self.finish_stop(now, effects);
     }
 
-    /// When time alone makes the gateway act, if nothing happens before.
+    /// The next time at which [`LeasedGateway::flush`] has to be called even if no event
+    /// arrives, or `None` if no timer is pending.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let workers = self.workers.values().flat_map(|worker| {
-            let lapse = (!worker.tasks.is_empty()).then(|| worker.lapses_at());
-            [lapse, worker.beat_due()]
+            let expiry = (!worker.tasks.is_empty()).then(|| worker.expires_at());
+            [expiry, worker.heartbeat_due()]
         });
         let stop = self.stopping_since.filter(|_| !self.stop_reported);
         let stop = stop.map(|since| {
@@ -249,7 +247,7 @@
         let opening = self.start_window.opens_at();
         let opening = opening.filter(|_| !self.waiting.is_empty());
         let members = self.membership.next_wakeup();
-        let peers = self.ask_again_at();
+        let peers = self.next_configuration_request_at();
         let others = [timer, stop, opening, members, peers].into_iter().flatten();
         workers.flatten().chain(others).min()
     }
@@ -270,15 +268,15 @@
             self.membership.on_agent_closed(old);
             effects.push(GatewayEffect::Close(old));
         }
-        worker.open(now, session);
-        self.start_window.forget(remote.incarnation);
+        worker.open_session(now, session);
+        self.start_window.remove_agent(remote.incarnation);
         self.agent_sessions.insert(session, remote.incarnation);
-        self.tell_agent_evacuations(now, session, effects);
-        self.tell_predecessor(now, remote.incarnation, effects);
+        self.send_evacuations_to_agent(now, session, effects);
+        self.send_predecessor_silence(now, remote.incarnation, effects);
     }
 
-    /// Tells an agent how long ago an earlier one of its name was heard.
-    fn tell_predecessor(
+    /// Tells an agent how long ago the previous agent process of the same name was last heard.
+    fn send_predecessor_silence(
         &mut self,
         now: Timestamp,
         agent: Incarnation,
@@ -288,7 +286,7 @@
         let earlier = self.workers.iter().filter(|(other, worker)| {
             **other != agent && Some(&worker.name) == name && worker.snapshot.is_some()
         });
-        let heard = earlier.map(|(_, worker)| worker.heard).max();
+        let heard = earlier.map(|(_, worker)| worker.last_heard).max();
         if let Some(heard) = heard {
             let silence = now.since(heard);
             self.send(now, agent, ToAgentBody::Predecessor { silence }, effects);
@@ -300,7 +298,7 @@
             return;
         };
         self.membership.on_agent_closed(session);
-        self.start_window.forget(agent);
+        self.start_window.remove_agent(agent);
         if let Some(worker) = self.workers.get_mut(&agent) {
             worker.session = None;
             worker.offers.clear();
@@ -320,8 +318,8 @@
         let Some(worker) = self.workers.get_mut(&agent) else {
             return;
         };
-        self.way_in.note(now, agent, message.clock);
-        worker.heard = now;
+        self.way_in.record(now, agent, message.clock);
+        worker.last_heard = now;
         worker.clock = worker.clock.max(message.clock);
         if let Some(report) = message.report {
             worker.on_report(report);
@@ -345,7 +343,7 @@
             }
             FromAgentBody::Crashes(crashes) => {
                 worker.has_crashed = true;
-                self.on_crashes_at_agent(now, &crashes, effects);
+                self.on_agent_crashes(now, &crashes, effects);
             }
         }
     }
@@ -363,7 +361,7 @@
         let Some(session) = worker.session else {
             return;
         };
-        worker.note_sent(now);
+        worker.record_sent(now);
         let message = ToAgent {
             echo: worker.clock,
             seen: worker.seen,
@@ -372,12 +370,13 @@
         effects.push(GatewayEffect::ToAgent { session, message });
     }
 
-    /// Echoes and acknowledges where nothing else was sent for a while.
+    /// Sends heartbeats to agents that are owed an echo or an acknowledgement and were sent
+    /// nothing else within the heartbeat interval.
     fn send_heartbeats(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let due: Vec<Incarnation> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.beat_due().is_some_and(|due| now >= due))
+            .filter(|(_, worker)| worker.heartbeat_due().is_some_and(|due| now >= due))
             .map(|(agent, _)| *agent)
             .collect();
         for agent in due {
@@ -388,7 +387,7 @@
     fn stop_tasks(&mut self, now: Timestamp, job: JobId, effects: &mut Vec<GatewayEffect>) {
         let workers = self.workers.iter_mut();
         let stops: Vec<(Incarnation, Vec<TaskId>)> = workers
-            .map(|(agent, worker)| (*agent, worker.give_up(job)))
+            .map(|(agent, worker)| (*agent, worker.abandon_job(job)))
             .filter(|(_, tasks)| !tasks.is_empty())
             .collect();
         for (agent, tasks) in stops {
@@ -396,8 +395,8 @@
         }
     }
 
-    /// Ends a planned stop once no job is left and none is taken any more, or
-    /// at its limit.
+    /// Completes a planned stop once the overlap has passed and no job is left; ends the
+    /// remaining jobs at the limit.
     fn finish_stop(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let Some(since) = self.stopping_since else {
             return;
--- a/laurelstile-core/src/leased/gateway/offers.rs
+++ b/laurelstile-core/src/leased/gateway/offers.rs
@@ -1,4 +1,5 @@
-//! Room that agents offer, and the announcements by which they know who waits.
+//! Offers of free resources by agents, and the announcements of waiting jobs that agents base
+//! them on.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,48 +10,46 @@
 
 use super::candidate::Candidate;
 use super::job::Job;
-use super::placement::wanted_of;
+use super::placement::allowed_tasks;
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{Announcement, Offer, ToAgentBody};
 use crate::leased::task::JobId;
 
-/// Workers that are told of a waiting task. One of each is enough: with two, and two
-/// more for each job, worth in overload is the same within noise (0.699 and 0.702 of
-/// the worth owed, means of two seeds), and links of 2 Mbit/s lose 0.04 of theirs, since
-/// room is split into more starts and each carries the job's input.
+/// Number of agents to which each waiting task is announced. More agents would split capacity
+/// into more batches, each of which carries the job's input, without improving placement.
 const AGENTS_PER_TASK: usize = 1;
-/// After so long a job that still waits is announced anew, since its rank has changed.
-/// Few jobs wait for longer. Announced each 25 ms, a job that waits behind a full link
-/// adds to what fills it, and gains nothing where links are wide.
-const REFRESH: Span = Span::from_millis(1_000);
+/// Interval after which a waiting job is announced again with its current rank. Shorter
+/// intervals add traffic to links that may already be saturated.
+const REANNOUNCE_INTERVAL: Span = Span::from_millis(1_000);
 
-/// A job that was announced.
+/// The latest announcement of a job.
 #[derive(Clone, Debug)]
 pub struct AnnouncedJob {
-    /// When it was last announced.
+    /// Time of the announcement.
     at: Timestamp,
-    /// The rank that was told.
+    /// The announced rank.
     rank: u32,
-    /// Agents that were told, and the steps of which.
+    /// The notified agents, with the announced step.
     agents: Vec<(Incarnation, u32)>,
 }
 
-/// What is to be announced, by agent.
-type News = BTreeMap<Incarnation, Vec<Announcement>>;
+/// Announcements to send, by agent.
+type PendingAnnouncements = BTreeMap<Incarnation, Vec<Announcement>>;
 
 impl LeasedGateway {
-    /// Rank of a job among those that wait: 0 for one that has begun, since it takes
-    /// room for nothing until it is done; else the share of its like that was served.
+    /// Rank of a waiting job; lower ranks go first. A started job has rank 0, because it
+    /// occupies resources without a result until it completes; other jobs are ranked by the
+    /// on-time rate of their queue and size group.
     fn rank(&self, now: Timestamp, job: &Job) -> u32 {
-        if job.is_untouched() {
-            1 + self.shares.permille(now, &job.queue.name, job.group)
+        if job.is_unstarted() {
+            1 + self.on_time_rates.permille(now, &job.queue.name, job.group)
         } else {
             0
         }
     }
 
-    /// Jobs with tasks to be placed, in order.
+    /// Jobs with placeable tasks, in order of rank and latest start time.
     pub(super) fn waiting_in_order(&self, now: Timestamp) -> Vec<JobId> {
         let mut order: Vec<(u32, Timestamp, JobId)> = self
             .waiting
@@ -64,9 +63,8 @@
         order.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// Answers each offer: with the tasks of the first job in order that can use it,
-    /// else by declining it.
-    pub(super) fn use_offers(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
+    /// Answers each offer with tasks of the first waiting job that can use it, or declines it.
+    pub(super) fn answer_offers(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let offers: Vec<(Incarnation, Offer)> = self
             .workers
             .iter_mut()
@@ -76,7 +74,7 @@
             })
             .collect();
         for (agent, offer) in offers {
-            let is_used = self.use_offer(now, agent, offer, effects);
+            let is_used = self.answer_offer(now, agent, offer, effects);
             let decision = GatewayDecision::OfferAnswered { is_used };
             effects.push(GatewayEffect::Decided(decision));
             if !is_used {
@@ -86,7 +84,7 @@
         }
     }
 
-    fn use_offer(
+    fn answer_offer(
         &mut self,
         now: Timestamp,
         agent: Incarnation,
@@ -104,19 +102,19 @@
                 continue;
             }
             for step in job.placeable() {
-                let Some(candidate) = self.candidate_for(now, id, step, agent, offer) else {
+                let Some(candidate) = self.candidate_for_offer(now, id, step, agent, offer) else {
                     continue;
                 };
                 self.place(now, id, step, candidate, effects);
-                self.drop_if_placed(id);
+                self.dequeue_if_placed(id);
                 return true;
             }
         }
         false
     }
 
-    /// Tasks of a step that the offered room is good for.
-    fn candidate_for(
+    /// The tasks of a step that fit into the offered resources, or `None`.
+    fn candidate_for_offer(
         &self,
         now: Timestamp,
         id: JobId,
@@ -125,27 +123,27 @@
         offer: Offer,
     ) -> Option<Candidate> {
         let job = self.jobs.get(&id)?;
-        if !self.is_open_to(&job.queue, agent) {
+        if !self.may_use_worker(&job.queue, agent) {
             return None;
         }
         let worker = self.workers.get(&agent)?;
-        let best_pace = self.best_pace(now, &job.queue.service)?;
-        let wanted = wanted_from(now, job, step, best_pace, worker)?;
+        let best_percent = self.best_run_time_percent(now, &job.queue.service)?;
+        let wanted = allowed_tasks_at(now, job, step, best_percent, worker)?;
         let request = &job.steps[step].request;
         let fitting = request.room.times_in(offer.room);
-        let together = u32::try_from(job.steps[step].waiting.len()).unwrap_or(u32::MAX);
-        let tasks = fitting.min(wanted).min(together);
+        let batchable = u32::try_from(job.steps[step].waiting.len()).unwrap_or(u32::MAX);
+        let tasks = fitting.min(wanted).min(batchable);
         if tasks > 0 {
             return Some(Candidate::offered(agent, tasks, offer.number));
         }
-        if fitting == 0 || self.has_task_apart(agent) {
+        if fitting == 0 || self.has_separated_task(agent) {
             return None;
         }
-        let index = self.first_task_apart(job, step)?;
-        Some(Candidate::offered(agent, 1, offer.number).apart(index))
+        let index = self.first_separated_task(job, step)?;
+        Some(Candidate::offered(agent, 1, offer.number).with_separated(index))
     }
 
-    fn drop_if_placed(&mut self, id: JobId) {
+    fn dequeue_if_placed(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get(&id)
             && !job.has_placeable()
         {
@@ -153,63 +151,65 @@
         }
     }
 
-    /// Tells agents which jobs wait for room, and which no longer do.
+    /// Announces waiting jobs to agents and withdraws announcements of jobs that no longer
+    /// wait.
     pub(super) fn announce_waiting(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         if self.waiting.is_empty() && self.announced.is_empty() {
             return;
         }
-        let mut news = News::new();
-        self.withdraw_placed(&mut news);
-        // With a full way out, jobs do not wait for room.
+        let mut pending = PendingAnnouncements::new();
+        self.withdraw_placed(&mut pending);
+        // While the start window is full, jobs wait for the window and not for resources.
         let is_open = self.start_window.is_open();
         for id in self.waiting_in_order(now) {
             if is_open {
-                self.announce(now, id, &mut news);
+                self.announce(now, id, &mut pending);
             }
         }
-        for (agent, announcements) in news {
+        for (agent, announcements) in pending {
             self.send(now, agent, ToAgentBody::Announce(announcements), effects);
         }
     }
 
-    fn withdraw_placed(&mut self, news: &mut News) {
+    fn withdraw_placed(&mut self, pending: &mut PendingAnnouncements) {
         let waiting: BTreeSet<JobId> = self.waiting.iter().map(|(_, id)| *id).collect();
-        let over: Vec<JobId> = self
+        let placed: Vec<JobId> = self
             .announced
             .keys()
             .filter(|id| !waiting.contains(id))
             .copied()
             .collect();
-        for id in over {
+        for id in placed {
             let Some(announced) = self.announced.remove(&id) else {
                 continue;
             };
             for (agent, step) in announced.agents {
-                news.entry(agent)
+                pending
+                    .entry(agent)
                     .or_default()
                     .push(Announcement::withdrawn(id, step));
             }
         }
     }
 
-    fn announce(&mut self, now: Timestamp, id: JobId, news: &mut News) {
+    fn announce(&mut self, now: Timestamp, id: JobId, pending: &mut PendingAnnouncements) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let rank = self.rank(now, job);
-        let is_told = self.announced.get(&id).is_some_and(|announced| {
+        let is_recent = self.announced.get(&id).is_some_and(|announced| {
             let has_begun_since = rank == 0 && announced.rank > 0;
-            now.since(announced.at) < REFRESH && !has_begun_since
+            now.since(announced.at) < REANNOUNCE_INTERVAL && !has_begun_since
         });
-        if is_told || now < job.not_before {
+        if is_recent || now < job.not_before {
             return;
         }
         let mut agents = Vec::new();
         for step in job.placeable() {
             let index = u32::try_from(step).unwrap_or(u32::MAX);
             let announcement = announcement_of(now, job, step, rank);
-            for agent in self.agents_to_tell(now, job, step) {
-                news.entry(agent).or_default().push(announcement);
+            for agent in self.announcement_targets(now, job, step) {
+                pending.entry(agent).or_default().push(announcement);
                 agents.push((agent, index));
             }
         }
@@ -222,23 +222,23 @@
         for (agent, step) in earlier.map(|earlier| earlier.agents).unwrap_or_default() {
             if !announced.agents.contains(&(agent, step)) {
                 let withdrawn = Announcement::withdrawn(id, step);
-                news.entry(agent).or_default().push(withdrawn);
+                pending.entry(agent).or_default().push(withdrawn);
             }
         }
     }
 
-    /// The agents that are told of a waiting step: enough that some have room soon,
-    /// others for other jobs.
-    fn agents_to_tell(&self, now: Timestamp, job: &Job, step: usize) -> Vec<Incarnation> {
+    /// The agents to which a waiting step is announced. The hash-based order spreads different
+    /// jobs placed different agents.
+    fn announcement_targets(&self, now: Timestamp, job: &Job, step: usize) -> Vec<Incarnation> {
         let waiting = job.steps[step].waiting_count();
-        let Some(best_pace) = self.best_pace(now, &job.queue.service) else {
+        let Some(best_percent) = self.best_run_time_percent(now, &job.queue.service) else {
             return Vec::new();
         };
         let mut agents: Vec<Incarnation> = self
             .workers
             .iter()
-            .filter(|(_, worker)| wanted_from(now, job, step, best_pace, worker).is_some())
-            .filter(|(agent, _)| self.is_open_to(&job.queue, **agent))
+            .filter(|(_, worker)| allowed_tasks_at(now, job, step, best_percent, worker).is_some())
+            .filter(|(agent, _)| self.may_use_worker(&job.queue, **agent))
             .map(|(agent, _)| *agent)
             .collect();
         agents.sort_unstable_by_key(|agent| Reverse(affinity(job.id, *agent)));
@@ -247,25 +247,26 @@
     }
 }
 
-/// Tasks of a step that `worker` would be given, if it had room for all; `best_pace` is
-/// that of the fastest worker of the service.
-fn wanted_from(
+/// Maximum number of tasks of a step that `worker` may receive, regardless of its free
+/// resources; `None` if it may receive none. `best_percent` is the pace of the fastest worker of
+/// the service.
+fn allowed_tasks_at(
     now: Timestamp,
     job: &Job,
     step: usize,
-    best_pace: u32,
+    best_percent: u32,
     worker: &Worker,
 ) -> Option<u32> {
     let step = &job.steps[step];
-    if !worker.is_usable(now, &job.queue.service) || !worker.fulfils(&step.request) {
+    if !worker.is_usable(now, &job.queue.service) || !worker.has_required_label(&step.request) {
         return None;
     }
     let waiting = u32::try_from(step.waiting_count()).unwrap_or(u32::MAX);
-    wanted_of(job, &step.request, waiting, best_pace, worker)
+    allowed_tasks(job, &step.request, waiting, best_percent, worker)
 }
 
 fn announcement_of(now: Timestamp, job: &Job, step: usize, rank: u32) -> Announcement {
-    let until = if job.is_untouched() {
+    let until = if job.is_unstarted() {
         job.refuse_at
     } else {
         job.deadline
@@ -280,7 +281,7 @@
     }
 }
 
-/// Spreads jobs over agents: the same for the same pair, without order otherwise.
+/// Hash of a job and an agent, for a stable but unordered assignment of jobs to agents.
 fn affinity(job: JobId, agent: Incarnation) -> u64 {
     let mut hasher = DefaultHasher::new();
     (job.0, agent.0).hash(&mut hasher);
--- a/laurelstile-core/src/leased/gateway/path_delay.rs
+++ b/laurelstile-core/src/leased/gateway/path_delay.rs
@@ -1,36 +1,41 @@
-//! How much longer than at best messages take from one process to another.
+//! Estimates the queueing delay of messages between two processes.
 //!
-//! Two clocks without a common zero tell the time on the way but for a constant, and the
-//! least that was seen lately stands for that constant, as LEDBAT does it (RFC 6817). So a
-//! queue on the way in shows, whatever waits on the way out.
+//! The clocks need not be synchronized. The difference between receive and send time is the
+//! one-way delay plus a constant offset; the minimum over a recent period approximates the
+//! offset plus the uncongested delay, as in LEDBAT (RFC 6817). The excess over the minimum is
+//! the queueing delay in that direction, independent of the reverse path.
 
 use laurelstile_types::time::{Span, Timestamp};
 
-/// The least difference counts for one to two such times. It has to outlast a queue that
-/// stands on the way.
+/// The minimum is kept for one to two of these periods. It must outlast a standing queue on
+/// the path.
 const BASE_PERIOD: Span = Span::from_secs(30);
 
-/// One direction of the way between two processes.
+/// Delay estimate for one direction of a path between two processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PathDelay {
-    /// The least difference of the clocks, in microseconds, in this period and the last.
-    least: Option<i64>,
-    last_least: Option<i64>,
+    /// Minimum difference of the clocks in the current period, in microseconds.
+    min_offset: Option<i64>,
+    previous_min_offset: Option<i64>,
     period_began: Timestamp,
 }
 
 impl PathDelay {
-    /// A message that left at `sent`, by its sender's clock, was taken in at `taken_in`, by
-    /// its receiver's. Gives how much longer it took than the fastest one lately.
-    pub fn note(&mut self, sent: Timestamp, taken_in: Timestamp) -> Span {
-        if taken_in.since(self.period_began) > BASE_PERIOD {
-            self.period_began = taken_in;
-            self.last_least = self.least.take();
+    /// Records a message sent at `sent` on the sender's clock and received at `received` on
+    /// the receiver's clock. Returns its delay in excess of the recent minimum.
+    pub fn record(&mut self, sent: Timestamp, received: Timestamp) -> Span {
+        if received.since(self.period_began) > BASE_PERIOD {
+            self.period_began = received;
+            self.previous_min_offset = self.min_offset.take();
         }
-        let difference = signed(taken_in) - signed(sent);
-        let least = self.least.map_or(difference, |least| least.min(difference));
-        self.least = Some(least);
-        let base = self.last_least.map_or(least, |last| last.min(least));
+        let difference = signed(received) - signed(sent);
+        let min_offset = self
+            .min_offset
+            .map_or(difference, |min_offset| min_offset.min(difference));
+        self.min_offset = Some(min_offset);
+        let base = self
+            .previous_min_offset
+            .map_or(min_offset, |last| last.min(min_offset));
         Span(u64::try_from(difference - base).unwrap_or(0))
     }
 }
--- a/laurelstile-core/src/leased/gateway/peers.rs
+++ b/laurelstile-core/src/leased/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Other gateways: which there are, and the newest configuration among them.
+//! Sessions with peer gateways: broadcasts, and exchange of the newest configuration.
 
 use std::sync::Arc;
 
@@ -10,44 +10,43 @@
 use crate::leased::messages::{ToAgentBody, ToPeer};
 use crate::session::SessionId;
 
-/// A configuration that was asked for and has not come after so long is asked of another
-/// peer.
-const ASK_AGAIN: Span = Span::from_millis(100);
+/// Time after which an unanswered request for a configuration is sent to another peer.
+const RETRY_INTERVAL: Span = Span::from_millis(100);
 
-/// Another gateway, by its session.
+/// State of a session with a peer gateway.
 #[derive(Debug, Default)]
 pub struct Peer {
-    /// Version of the configuration in force there, as far as is known.
+    /// Version of the configuration in force at the peer, or `None` before it announced one.
     version: Option<u64>,
 }
 
 impl LeasedGateway {
-    /// Tells all peers the same.
-    pub(super) fn tell_peers(&self, message: &ToPeer, effects: &mut Vec<GatewayEffect>) {
-        self.tell_peers_but(None, message, effects);
+    /// Sends a message to all peers.
+    pub(super) fn broadcast_to_peers(&self, message: &ToPeer, effects: &mut Vec<GatewayEffect>) {
+        self.send_to_peers_except(None, message, effects);
     }
 
-    /// Tells all peers the same, but the one that it came from.
-    pub(super) fn tell_other_peers(
+    /// Forwards a message to all peers except the one it came from.
+    pub(super) fn forward_to_peers(
         &self,
         source: SessionId,
         message: &ToPeer,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        self.tell_peers_but(Some(source), message, effects);
+        self.send_to_peers_except(Some(source), message, effects);
     }
 
-    fn tell_peers_but(
+    fn send_to_peers_except(
         &self,
         source: Option<SessionId>,
         message: &ToPeer,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let told = self
+        let recipients = self
             .peers
             .keys()
             .filter(|session| Some(**session) != source);
-        effects.extend(told.map(|session| GatewayEffect::ToPeer {
+        effects.extend(recipients.map(|session| GatewayEffect::ToPeer {
             session: *session,
             message: message.clone(),
         }));
@@ -69,8 +68,8 @@
         let introduction = self.membership.on_peer_opened(now, session, is_dialed);
         let message = ToPeer::Introduction(introduction);
         effects.push(GatewayEffect::ToPeer { session, message });
-        self.tell_peer_evacuations(session, effects);
-        self.tell_peer_cancels(now, session, effects);
+        self.send_evacuations_to_peer(session, effects);
+        self.send_recent_cancels(now, session, effects);
         if let Some(configuration) = &self.configuration {
             let message = ToPeer::InForce(configuration.version);
             effects.push(GatewayEffect::ToPeer { session, message });
@@ -96,33 +95,32 @@
                     effects.push(GatewayEffect::ToPeer { session, message });
                 }
             }
-            ToPeer::Configuration(configuration) => self.adopt(configuration, effects),
-            ToPeer::Evacuations(news) => self.on_evacuations_told(now, news, effects),
-            ToPeer::Crashes(crashes) => self.on_crashes_told(now, session, &crashes, effects),
+            ToPeer::Configuration(configuration) => self.install(configuration, effects),
+            ToPeer::Evacuations(update) => self.on_peer_evacuations(now, update, effects),
+            ToPeer::Crashes(crashes) => self.on_peer_crashes(now, session, &crashes, effects),
             ToPeer::Suspect { queue, task } => {
-                self.on_suspect_told(now, session, queue, task, effects);
+                self.on_peer_suspect(now, session, queue, task, effects);
             }
-            ToPeer::Cancelled(jobs) => self.on_cancels_told(now, session, &jobs, effects),
+            ToPeer::Cancelled(jobs) => self.on_peer_cancels(now, session, &jobs, effects),
             ToPeer::Digest(digest) => self.membership.on_digest(session, digest),
             ToPeer::MembersWanted(parts) => {
                 let answer = self.membership.on_members_wanted(session, &parts);
-                self.carry_out_membership(now, answer, effects);
+                self.apply_membership_effect(now, answer, effects);
             }
             ToPeer::Members(members) => self.membership.on_members(now, session, members),
             ToPeer::Introduction(introduction) => {
                 let answer = self.membership.on_introduction(session, introduction);
                 if let Some(answer) = answer {
-                    self.carry_out_membership(now, answer, effects);
+                    self.apply_membership_effect(now, answer, effects);
                 }
             }
         }
     }
 
-    /// Puts a newer configuration in force and tells the peers its version; an older one
-    /// is ignored, so that a configuration never reverts. All gateways read the store, so
-    /// peers usually have it: whole configurations to all peers were 40% of what gateways
-    /// of a small deployment sent in the first second after a loss of power.
-    pub(super) fn adopt(
+    /// Puts a newer configuration in force and announces its version to peers. An older one is
+    /// ignored, so that a configuration never reverts. Only the version is sent, because peers
+    /// usually read the same configuration from the store.
+    pub(super) fn install(
         &mut self,
         configuration: QueueConfiguration,
         effects: &mut Vec<GatewayEffect>,
@@ -134,59 +132,63 @@
         self.configuration = Some(Arc::clone(&configuration));
         let is_kept = |name: &str| configuration.queues.iter().any(|queue| queue.name == name);
         self.run_times.retain(is_kept);
-        self.shares.retain(is_kept);
-        self.tell_peers(&ToPeer::InForce(configuration.version), effects);
+        self.on_time_rates.retain(is_kept);
+        self.broadcast_to_peers(&ToPeer::InForce(configuration.version), effects);
         effects.push(GatewayEffect::InForce(configuration));
     }
 
-    /// Version of the configuration in force here.
+    /// Version of the configuration in force, or `None` before the first one.
     fn version(&self) -> Option<u64> {
         self.configuration.as_ref().map(|known| known.version)
     }
 
-    /// Asks one of the peers that have a newer configuration, and after a while another.
-    pub(super) fn ask_for_configuration(
+    /// Requests the configuration from a peer that has a newer one; unanswered requests are
+    /// repeated to another such peer.
+    pub(super) fn request_configuration(
         &mut self,
         now: Timestamp,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        if self.ask_again_at().is_none_or(|due| now < due) {
+        if self
+            .next_configuration_request_at()
+            .is_none_or(|due| now < due)
+        {
             return;
         }
         let version = self.version();
         let newer = self.peers.iter().filter(|(_, peer)| peer.version > version);
         let mut newer: Vec<SessionId> = newer.map(|(session, _)| *session).collect();
-        if let Some((asked, _)) = self.asked_peer {
-            // The one after the last that was asked, round and round.
+        if let Some((asked, _)) = self.configuration_request {
+            // Continues round robin after the peer that was asked last.
             let after = newer.partition_point(|session| *session <= asked);
             newer.rotate_left(after);
         }
         let Some(session) = newer.first().copied() else {
             return;
         };
-        self.asked_peer = Some((session, now));
+        self.configuration_request = Some((session, now));
         let message = ToPeer::ConfigurationWanted;
         effects.push(GatewayEffect::ToPeer { session, message });
     }
 
-    /// When to ask for a newer configuration, if a peer has one.
-    pub(super) fn ask_again_at(&self) -> Option<Timestamp> {
+    /// When to request a newer configuration, or `None` if no peer has one.
+    pub(super) fn next_configuration_request_at(&self) -> Option<Timestamp> {
         let version = self.version();
         let is_behind = self.peers.values().any(|peer| peer.version > version);
         is_behind.then(|| {
-            self.asked_peer
-                .map_or(Timestamp::default(), |(_, asked)| asked.after(ASK_AGAIN))
+            self.configuration_request
+                .map_or(Timestamp::default(), |(_, at)| at.after(RETRY_INTERVAL))
         })
     }
 
-    /// Does what the knowledge of other gateways gives rise to.
-    pub(super) fn tend_membership(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
+    /// Applies the pending effects of the membership protocol.
+    pub(super) fn flush_membership(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for effect in self.membership.flush(now) {
-            self.carry_out_membership(now, effect, effects);
+            self.apply_membership_effect(now, effect, effects);
         }
     }
 
-    fn carry_out_membership(
+    fn apply_membership_effect(
         &mut self,
         now: Timestamp,
         effect: MembershipEffect,
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -1,9 +1,9 @@
-//! Placement: which worker gets which tasks.
+//! Placement of tasks on workers.
 //!
-//! The most urgent job goes first. A job's tasks are kept together as far as
-//! one worker has room for them: one message and one copy of the input serve
-//! them all, and a bad worker harms fewer jobs. Between workers with room the
-//! expected run time decides, then the zone, then what is left free.
+//! The most urgent job is placed first. Tasks of a job are batched on one worker as far as its
+//! free resources allow: they share one message and one copy of the input, and a faulty worker
+//! affects fewer jobs. Among the workers that fit, the expected run time decides, then the
+//! zone, then utilization.
 
 use std::sync::Arc;
 
@@ -13,38 +13,39 @@
 use super::candidate::Candidate;
 use super::job::{Job, Step, StepRequest, TaskState, task_id};
 use super::queues::QueueSettings;
-use super::suspects::ALONE_PATIENCE;
+use super::suspects::EXCLUSIVE_MAX_WAIT;
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{StartBatch, ToAgentBody};
 use crate::leased::room::Room;
 use crate::leased::task::{JobId, RunNumber};
 
-/// What a worker of another zone costs more, in microseconds of run time.
-const OTHER_ZONE_MICROS: u64 = 10_000;
-/// What a worker without free room would cost more than an empty one.
-const FULLNESS_MICROS: u64 = 20_000;
-/// What a worker far from the data costs more, in percent of the run time.
-const FAR_PERCENT: u64 = 50;
-/// A worker that is so many times slower than the best is called slow.
+/// Cost of a worker in another zone, in microseconds of run time.
+const CROSS_ZONE_COST_MICROS: u64 = 10_000;
+/// Cost of a fully utilized worker relative to an empty one, in microseconds of run time.
+const UTILIZATION_COST_MICROS: u64 = 20_000;
+/// Cost of a worker without the label near the step's data, in percent of the run time.
+const REMOTE_DATA_COST_PERCENT: u64 = 50;
+/// A worker is slow if its run time percentage is at least this many times that of the fastest one.
 const SLOW_FACTOR: u32 = 2;
-/// How long tasks may wait at an agent whose room another gateway has taken
-/// meanwhile. Short: another worker may have room.
-const PATIENCE: Span = Span::from_millis(4);
+/// How long tasks may wait at an agent whose resources another gateway has taken in the
+/// meantime. Short, since another worker may have free resources.
+const MAX_WAIT: Span = Span::from_millis(4);
 
-/// A task that found no room.
+/// A request for resources that no worker could satisfy.
 #[derive(Debug)]
 struct Shortage {
     queue: Arc<QueueSettings>,
-    /// Whether the queue is contained: it has other workers than the rest of its service.
+    /// Whether the queue is contained, and thus restricted to other workers than the rest of
+    /// its service.
     is_contained: bool,
     label: Option<String>,
     room: Room,
 }
 
 impl Shortage {
-    /// Whether a task of `step` cannot find room either: it asks at least as much
-    /// of the same workers, or of some of them.
+    /// Whether a task of `step` cannot be placed either, because it needs at least the same
+    /// resources on a subset of the same workers.
     fn covers(&self, queue: &QueueSettings, is_contained: bool, step: &StepRequest) -> bool {
         let has_same_workers =
             self.queue.service == queue.service && self.is_contained == is_contained;
@@ -54,8 +55,8 @@
 }
 
 impl LeasedGateway {
-    /// Places what waits, the most urgent first. A task that finds no room holds
-    /// up those only that ask for as much of the same workers.
+    /// Places waiting jobs, the most urgent first. A task that does not fit blocks only tasks
+    /// that need at least the same resources on the same workers.
     pub(super) fn place_waiting(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         if !self.start_window.is_open() {
             return;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Places the job's tasks; `false` if some found no room.
+    /// Places the tasks of a job; returns `false` if some did not fit.
     fn place_job(
         &mut self,
         now: Timestamp,
@@ -89,12 +90,12 @@
         let mut is_placed = true;
         for step in job.placeable() {
             is_placed &= self.place_step(now, id, step, shortages, effects);
-            is_placed &= self.place_apart(now, id, step, effects);
+            is_placed &= self.place_separated(now, id, step, effects);
         }
         is_placed
     }
 
-    /// Places the tasks of a step; `false` if some found no room.
+    /// Places the batched tasks of a step; returns `false` if some did not fit.
     fn place_step(
         &mut self,
         now: Timestamp,
@@ -111,7 +112,7 @@
                 return true;
             }
             if !self.start_window.is_open() {
-                self.start_window.note_full();
+                self.start_window.record_blocked();
                 return false;
             }
             let is_contained = self.is_contained(&job.queue);
@@ -139,7 +140,7 @@
         self.best_worker_of(now, id, step, wanted, |_| true)
     }
 
-    /// The best worker for `wanted` tasks among those that `is_allowed` names.
+    /// The best worker for up to `wanted` tasks among those that `is_allowed` accepts.
     pub(super) fn best_worker_of(
         &self,
         now: Timestamp,
@@ -150,14 +151,14 @@
     ) -> Option<Candidate> {
         let job = self.jobs.get(&id)?;
         let service = &job.queue.service;
-        let best_pace = self.best_pace(now, service)?;
+        let best_percent = self.best_run_time_percent(now, service)?;
         let request = &job.steps[step].request;
         self.workers
             .iter()
             .filter(|(_, worker)| worker.is_usable(now, service))
-            .filter(|(agent, _)| is_allowed(**agent) && self.is_open_to(&job.queue, **agent))
+            .filter(|(agent, _)| is_allowed(**agent) && self.may_use_worker(&job.queue, **agent))
             .filter_map(|(agent, worker)| {
-                let wanted = wanted_of(job, request, wanted, best_pace, worker)?;
+                let wanted = allowed_tasks(job, request, wanted, best_percent, worker)?;
                 self.candidate(job, request, wanted, *agent, worker)
             })
             .max_by_key(|candidate| {
@@ -166,8 +167,9 @@
             })
     }
 
-    /// Pace of the fastest worker that may be given tasks of `service`.
-    pub(super) fn best_pace(&self, now: Timestamp, service: &str) -> Option<u32> {
+    /// Pace of the fastest usable worker of `service`, in percent of the nominal run time, or
+    /// `None` if there is no such worker.
+    pub(super) fn best_run_time_percent(&self, now: Timestamp, service: &str) -> Option<u32> {
         self.workers
             .values()
             .filter(|worker| worker.is_usable(now, service))
@@ -183,30 +185,34 @@
         agent: Incarnation,
         worker: &Worker,
     ) -> Option<Candidate> {
-        if !worker.fulfils(request) {
+        if !worker.has_required_label(request) {
             return None;
         }
-        let free = worker.free_room();
-        let tasks = request.room.times_in(free).min(worker.limit()).min(wanted);
+        let free = worker.free_resources();
+        let tasks = request
+            .room
+            .times_in(free)
+            .min(worker.remaining_tasks())
+            .min(wanted);
         if tasks == 0 {
             return None;
         }
         let snapshot = worker.snapshot.as_ref()?;
-        let pace = u64::from(worker.report.pace_percent);
-        let is_far = request
+        let run_time_percent = u64::from(worker.report.pace_percent);
+        let is_remote = request
             .near
             .as_ref()
             .is_some_and(|near| !worker.has_label(near));
-        let pace = if is_far {
-            pace + pace * FAR_PERCENT / 100
+        let run_time_percent = if is_remote {
+            run_time_percent + run_time_percent * REMOTE_DATA_COST_PERCENT / 100
         } else {
-            pace
+            run_time_percent
         };
-        let run_time = request.estimate.0 * pace / 100;
+        let run_time = request.estimate.0 * run_time_percent / 100;
         let zone = if snapshot.zone == self.identity.member.zone {
             0
         } else {
-            OTHER_ZONE_MICROS
+            CROSS_ZONE_COST_MICROS
         };
         let capacity = u64::from(snapshot.capacity.cpu_millis.max(1));
         let taken = capacity.saturating_sub(u64::from(free.cpu_millis));
@@ -215,10 +221,10 @@
             agent,
             is_fast,
             tasks,
-            cost: run_time + zone + FULLNESS_MICROS * taken / capacity,
+            cost: run_time + zone + UTILIZATION_COST_MICROS * taken / capacity,
             offer: None,
-            apart: None,
-            is_alone: false,
+            separated: None,
+            is_exclusive: false,
         })
     }
 
@@ -238,10 +244,10 @@
         };
         let tasks = take_tasks(now, job, step, candidate);
         job.first_placed.get_or_insert(now);
-        let stalled = candidate
-            .apart
+        let separated_task = candidate
+            .separated
             .map(|index| &job.steps[step].tasks[index as usize]);
-        let has_stalled = stalled.is_some_and(|task| task.stalls > 0);
+        let has_stalled = separated_task.is_some_and(|task| task.stalls > 0);
         let request = &job.steps[step].request;
         let count = u32::try_from(tasks.len()).unwrap_or(u32::MAX);
         let reported = if candidate.offer.is_some() {
@@ -249,17 +255,17 @@
         } else {
             request.room.times(count)
         };
-        let patience = if candidate.is_alone {
-            ALONE_PATIENCE
+        let max_wait = if candidate.is_exclusive {
+            EXCLUSIVE_MAX_WAIT
         } else {
-            PATIENCE
+            MAX_WAIT
         };
         let number = worker.next_batch(reported, count);
         for (index, run) in &tasks {
             let task = task_id(id, step, *index);
-            worker.place(task, *run);
-            if candidate.is_alone {
-                worker.alone = Some(task);
+            worker.add_task(task, *run);
+            if candidate.is_exclusive {
+                worker.exclusive_task = Some(task);
             }
         }
         let batch = StartBatch {
@@ -269,17 +275,17 @@
             input: job.input.clone(),
             room: request.room,
             estimate_millis: u32::try_from(request.estimate.as_millis()).unwrap_or(u32::MAX),
-            patience_millis: u32::try_from(patience.as_millis()).unwrap_or(u32::MAX),
+            patience_millis: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
             tasks,
             offer: candidate.offer,
-            is_alone: candidate.is_alone,
+            is_alone: candidate.is_exclusive,
             has_stalled,
         };
         effects.push(GatewayEffect::Decided(GatewayDecision::Placed {
             job: id,
             agent: worker.name.clone(),
             tasks: count,
-            report_age: now.since(worker.heard),
+            report_age: now.since(worker.last_heard),
             age: now.since(job.arrival),
         }));
         let bytes = batch.bytes();
@@ -289,19 +295,20 @@
     }
 }
 
-/// Tasks that a worker may be given of `wanted`. One that is far slower than the
-/// best, and too slow for the objective, gets a single task while it is idle,
-/// which shows how it does now; where all are slow the estimates are to blame.
-pub(super) fn wanted_of(
+/// Number of the `wanted` tasks that a worker may receive. A worker that is far slower than
+/// the fastest one and too slow for the objective receives a single task while idle, as a
+/// probe. If all workers are slow, the estimate is assumed to be wrong and none is restricted.
+pub(super) fn allowed_tasks(
     job: &Job,
     request: &StepRequest,
     wanted: u32,
-    best_pace: u32,
+    best_percent: u32,
     worker: &Worker,
 ) -> Option<u32> {
-    let pace = worker.report.pace_percent;
-    let run_time = request.estimate.0 * u64::from(pace) / 100;
-    let is_slow = run_time > job.objective.0 && pace >= best_pace.saturating_mul(SLOW_FACTOR);
+    let run_time_percent = worker.report.pace_percent;
+    let run_time = request.estimate.0 * u64::from(run_time_percent) / 100;
+    let is_slow =
+        run_time > job.objective.0 && run_time_percent >= best_percent.saturating_mul(SLOW_FACTOR);
     match (is_slow, worker.is_idle()) {
         (false, _) => Some(wanted),
         (true, true) => Some(1),
@@ -319,8 +326,8 @@
     let count = candidate.tasks as usize;
     let mut taken = Vec::with_capacity(count);
     while taken.len() < count {
-        let next = match candidate.apart {
-            Some(index) => step.apart.take(&index),
+        let next = match candidate.separated {
+            Some(index) => step.separated.take(&index),
             None => step.waiting.pop_first(),
         };
         let Some(index) = next else {
--- a/laurelstile-core/src/leased/gateway/queues.rs
+++ b/laurelstile-core/src/leased/gateway/queues.rs
@@ -1,45 +1,45 @@
-//! Queues: where jobs are handed in, which service runs them, and how soon
-//! they are wanted.
+//! Queues: the endpoints at which jobs are submitted, with their service and response time
+//! objective.
 
 use std::sync::Arc;
 
 use laurelstile_types::time::Span;
 use serde::{Deserialize, Serialize};
 
-/// A version of the configuration; the whole of it.
+/// A complete version of the queue configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueConfiguration {
-    /// Rises from version to version, in uneven steps.
+    /// Version number. Increases with every version, not necessarily by one.
     pub version: u64,
-    /// All queues.
+    /// Settings of all queues.
     pub queues: Vec<Arc<QueueSettings>>,
 }
 
-/// One queue.
+/// Settings of a queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueSettings {
-    /// Its name.
+    /// Name of the queue, unique in the configuration.
     pub name: String,
-    /// Host that callers name.
+    /// Host name in callers' requests.
     pub host: String,
-    /// Path with which the paths of its jobs begin.
+    /// Prefix of the request path.
     pub path_prefix: String,
-    /// Service whose workers run its tasks.
+    /// Name of the service whose workers run the tasks.
     pub service: String,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of a task after which its job has failed.
+    /// Number of failed runs of a task after which its job fails.
     pub max_attempts: u32,
-    /// Factor on the longest chain of work in a job's objective.
+    /// Factor on the run time of the longest chain of steps in a job's objective.
     pub stretch: f64,
-    /// Added to that product in the objective, in milliseconds.
+    /// Constant part of a job's objective, in milliseconds.
     pub slack_millis: u64,
-    /// Whether its tasks may only run where an advisor says.
+    /// Whether tasks may run only on workers named by an external advisor.
     pub is_advised: bool,
 }
 
 impl QueueSettings {
-    /// Response time at which a job with `chain` of work is aimed.
+    /// Response time objective of a job whose longest chain of steps takes `chain`.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
@@ -53,7 +53,8 @@
 }
 
 impl QueueConfiguration {
-    /// The queue of a request: its host, and the longest prefix of its path.
+    /// The queue for a request: the one with the request's host and the longest matching path
+    /// prefix, or `None`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<QueueSettings>> {
         let host = without_port(host);
         self.queues
--- a/laurelstile-core/src/leased/gateway/run_times.rs
+++ b/laurelstile-core/src/leased/gateway/run_times.rs
@@ -1,86 +1,94 @@
-//! How long tasks take: what callers guess, corrected by what was seen.
+//! Run time estimates: callers' estimates, corrected by observed run times.
 //!
-//! A guess that is off by a factor makes a gateway refuse too late, order wrongly and
-//! call good workers slow. For each queue the gateway fits the logarithm of the run
-//! time of a step to the logarithm of its guess, over the steps that were done lately.
-//! A queue of which little was seen is believed its guesses.
+//! Inaccurate estimates make a gateway refuse jobs too late, order them wrongly and treat good
+//! workers as slow. For each queue, a line is fitted to the logarithm of the observed run time
+//! of recent steps as a function of the logarithm of the caller's estimate. While few steps
+//! were observed, the caller's estimate dominates.
 
 use std::collections::BTreeMap;
 
 use laurelstile_types::time::Span;
 
-/// Steps that are remembered, about: each counts less with every later one.
-const MEMORY: f64 = 100.0;
-/// So many steps seen weigh as much as the guess itself.
-const TRUST_IN_GUESSES: f64 = 10.0;
-/// Variance of the logarithm of the guesses that goes with that trust: a factor of
-/// about 1.4 either way.
-const VARIANCE_OF_GUESSES: f64 = 0.1;
-/// A run time is taken for at most so many times its guess, or as small a part of it.
-const MOST_OFF: f64 = 8.0;
+/// Approximate number of steps in the exponentially weighted window.
+const WINDOW_STEPS: f64 = 100.0;
+/// Weight of the caller's estimate, in observed steps.
+const PRIOR_STEPS: f64 = 10.0;
+/// Prior variance of the logarithm of the estimates; corresponds to a factor of about 1.4 in
+/// either direction.
+const PRIOR_VARIANCE: f64 = 0.1;
+/// Maximum factor by which an estimate is corrected, in either direction.
+const MAX_CORRECTION_FACTOR: f64 = 8.0;
 
-/// Run times of all queues.
+/// Run time models of all queues.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     queues: BTreeMap<String, Fit>,
 }
 
-/// A line through the logarithms of guesses and run times, fitted by least squares.
+/// A line fitted by least squares to the logarithms of estimates and run times.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fit {
     count: f64,
-    mean_guess: f64,
+    mean_estimate: f64,
     mean_run: f64,
     variance: f64,
     covariance: f64,
 }
 
 impl RunTimes {
-    /// A step of a queue whose tasks were guessed to take `guess` was done; the
-    /// slowest of them took `longest`.
-    pub fn note(&mut self, queue: &str, guess: Span, longest: Span) {
-        if guess.0 == 0 || longest.0 == 0 {
+    /// Records a completed step whose tasks were estimated to take `estimate` and the slowest of
+    /// which took `longest`.
+    pub fn record(&mut self, queue: &str, estimate: Span, longest: Span) {
+        if estimate.0 == 0 || longest.0 == 0 {
             return;
         }
-        let guess = logarithm(guess);
-        let off = logarithm(longest) - guess;
+        let estimate = logarithm(estimate);
+        let correction = logarithm(longest) - estimate;
         let fit = self.queues.entry(queue.to_owned()).or_default();
-        fit.note(guess, guess + off.clamp(-MOST_OFF.ln(), MOST_OFF.ln()));
+        fit.record(
+            estimate,
+            estimate + correction.clamp(-MAX_CORRECTION_FACTOR.ln(), MAX_CORRECTION_FACTOR.ln()),
+        );
     }
 
-    /// How long the slowest task of a step will take, guessed to take `guess`.
-    pub fn expected(&self, queue: &str, guess: Span) -> Span {
+    /// Expected run time of the slowest task of a step whose caller's estimate is `estimate`.
+    pub fn expected(&self, queue: &str, estimate: Span) -> Span {
         match self.queues.get(queue) {
-            Some(fit) if guess.0 > 0 => span(fit.expected(logarithm(guess))),
-            _ => guess,
+            Some(fit) if estimate.0 > 0 => span(fit.expected(logarithm(estimate))),
+            _ => estimate,
         }
     }
 
-    /// Forgets the queues that `is_kept` does not name.
+    /// Removes the queues for which `is_kept` returns `false`.
     pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.queues.retain(|queue, _| is_kept(queue));
     }
 }
 
 impl Fit {
-    fn note(&mut self, guess: f64, run: f64) {
-        self.count = (self.count + 1.0).min(MEMORY);
+    fn record(&mut self, estimate: f64, run: f64) {
+        self.count = (self.count + 1.0).min(WINDOW_STEPS);
         let weight = 1.0 / self.count;
-        let guess_off = guess - self.mean_guess;
-        let run_off = run - self.mean_run;
-        self.mean_guess += weight * guess_off;
-        self.mean_run += weight * run_off;
-        self.variance = (1.0 - weight) * (self.variance + weight * guess_off * guess_off);
-        self.covariance = (1.0 - weight) * (self.covariance + weight * guess_off * run_off);
+        let estimate_offset = estimate - self.mean_estimate;
+        let run_offset = run - self.mean_run;
+        self.mean_estimate += weight * estimate_offset;
+        self.mean_run += weight * run_offset;
+        self.variance =
+            (1.0 - weight) * (self.variance + weight * estimate_offset * estimate_offset);
+        self.covariance =
+            (1.0 - weight) * (self.covariance + weight * estimate_offset * run_offset);
     }
 
-    fn expected(&self, guess: f64) -> f64 {
-        let prior = TRUST_IN_GUESSES * VARIANCE_OF_GUESSES;
+    fn expected(&self, estimate: f64) -> f64 {
+        let prior = PRIOR_STEPS * PRIOR_VARIANCE;
         let slope = (self.count * self.covariance + prior) / (self.count * self.variance + prior);
-        let fitted = self.mean_run + slope * (guess - self.mean_guess);
-        let trust = self.count / (self.count + TRUST_IN_GUESSES);
-        let expected = trust * fitted + (1.0 - trust) * guess;
-        expected.clamp(guess - MOST_OFF.ln(), guess + MOST_OFF.ln())
+        let fitted = self.mean_run + slope * (estimate - self.mean_estimate);
+        let fit_weight = self.count / (self.count + PRIOR_STEPS);
+        let expected = fit_weight * fitted + (1.0 - fit_weight) * estimate;
+        expected.clamp(
+            estimate - MAX_CORRECTION_FACTOR.ln(),
+            estimate + MAX_CORRECTION_FACTOR.ln(),
+        )
     }
 }
 
--- a/laurelstile-core/src/leased/gateway/shares.rs
+++ b/laurelstile-core/src/leased/gateway/shares.rs
@@ -1,36 +1,35 @@
-//! Which callers go first when there is not room for all: those of whom the smallest
-//! share was served in time lately.
+//! Fair ordering of jobs under overload: jobs of the group with the lowest recent on-time rate
+//! go first.
 //!
-//! Jobs are grouped by queue and size. Wide and long jobs find room less easily, so
-//! without this they would be the ones to go without. Each gateway counts its own
-//! callers; since agents compare the ranks of several gateways, callers of a gateway
-//! that is worse off go first too.
+//! Jobs are grouped by queue and size. Large jobs are harder to place and would otherwise
+//! starve. Each gateway counts only its own callers, but agents compare ranks across gateways,
+//! so that callers of a gateway with a lower on-time rate go first as well.
 
 use std::collections::BTreeMap;
 
 use laurelstile_types::time::{Span, Timestamp};
 
-/// A job that was answered counts half after so long.
+/// Half-life of the weight of an answered job.
 const HALF_LIFE: Span = Span::from_secs(3);
-/// So many jobs of a group weigh as much as its queue's share, and so many of a queue
-/// as much as a full share.
-const PRIOR: f64 = 4.0;
-/// How far a bound between two sizes moves with one job, as a logarithm.
+/// Weight of the prior, in jobs: a group's prior is the rate of its queue, and a queue's prior
+/// is 1.
+const PRIOR_WEIGHT: f64 = 4.0;
+/// Step by which each job moves a size bound, on a logarithmic scale.
 const BOUND_STEP: f64 = 0.05;
 
-/// How much work a job is, compared with others of its queue.
+/// Size of a job relative to other jobs of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SizeGroup {
-    /// Seven of ten jobs.
+    /// The smallest 70% of jobs.
     Ordinary,
-    /// The fifth of the jobs above those.
+    /// The next 20%.
     Large,
-    /// The largest tenth.
+    /// The largest 10%.
     Largest,
 }
 
 impl SizeGroup {
-    /// Its name in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ordinary => "ordinary",
@@ -40,79 +39,81 @@
     }
 }
 
-/// The groups of one queue, and the bounds between them.
+/// On-time rates of a queue and its size groups, and the bounds between the groups.
 #[derive(Debug, Default)]
-struct QueueShares {
-    all: Share,
-    groups: [Share; 3],
-    /// Logarithms of the work above which a job is large, and largest.
+struct QueueRates {
+    all: OnTimeRate,
+    groups: [OnTimeRate; 3],
+    /// Logarithms of the work above which a job is `Large` and `Largest`; `None` before the
+    /// first job.
     bounds: Option<[f64; 2]>,
 }
 
-/// Shares of jobs that lie above the two bounds.
-const ABOVE_BOUNDS: [f64; 2] = [0.3, 0.1];
+/// Target fraction of jobs above each bound.
+const FRACTIONS_ABOVE_BOUNDS: [f64; 2] = [0.3, 0.1];
 
-/// Jobs that were served in time, of those that were answered.
+/// Exponentially decayed counts of answered jobs and of those that completed on time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    served: f64,
+struct OnTimeRate {
+    on_time: f64,
     answered: f64,
-    noted: Timestamp,
+    updated_at: Timestamp,
 }
 
-/// Shares of all queues.
+/// On-time rates of all queues.
 #[derive(Debug, Default)]
-pub struct Shares {
-    queues: BTreeMap<String, QueueShares>,
+pub struct OnTimeRates {
+    queues: BTreeMap<String, QueueRates>,
 }
 
-impl Shares {
-    /// The group of a job with so much work, in core-milliseconds. The bounds follow
-    /// the jobs that come.
+impl OnTimeRates {
+    /// The size group of a job with `work` core-milliseconds. Also moves the bounds towards
+    /// the target fractions.
     pub fn group_of(&mut self, queue: &str, work: u64) -> SizeGroup {
         self.queue(queue).group_of(work)
     }
 
-    /// A job was answered.
-    pub fn note(&mut self, now: Timestamp, queue: &str, group: SizeGroup, is_in_time: bool) {
-        let shares = self.queue(queue);
-        shares.all.note(now, is_in_time);
-        shares.groups[group as usize].note(now, is_in_time);
+    /// Records an answered job.
+    pub fn record(&mut self, now: Timestamp, queue: &str, group: SizeGroup, is_on_time: bool) {
+        let rates = self.queue(queue);
+        rates.all.record(now, is_on_time);
+        rates.groups[group as usize].record(now, is_on_time);
     }
 
-    /// Share of a group that was served in time lately, in thousandths.
+    /// Recent on-time rate of a group, in thousandths.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "between 0 and 1000"
     )]
     pub fn permille(&self, now: Timestamp, queue: &str, group: SizeGroup) -> u32 {
-        let Some(shares) = self.queues.get(queue) else {
+        let Some(rates) = self.queues.get(queue) else {
             return 1_000;
         };
-        let all = shares.all.ratio(now, 1.0);
-        let share = shares.groups[group as usize].ratio(now, all);
-        (share * 1_000.0) as u32
+        let all = rates.all.ratio(now, 1.0);
+        let rate = rates.groups[group as usize].ratio(now, all);
+        (rate * 1_000.0) as u32
     }
 
-    /// Forgets the queues that `is_kept` does not name.
+    /// Removes the queues for which `is_kept` returns `false`.
     pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.queues.retain(|queue, _| is_kept(queue));
     }
 
-    fn queue(&mut self, queue: &str) -> &mut QueueShares {
+    fn queue(&mut self, queue: &str) -> &mut QueueRates {
         self.queues.entry(queue.to_owned()).or_default()
     }
 }
 
-impl QueueShares {
+impl QueueRates {
     #[expect(clippy::cast_precision_loss, reason = "work is far below 2^52")]
     fn group_of(&mut self, work: u64) -> SizeGroup {
         let work = (work.max(1) as f64).ln();
         let bounds = self.bounds.get_or_insert([work, work]);
         let [is_large, is_largest] = bounds.map(|bound| work > bound);
-        for (bound, above) in bounds.iter_mut().zip(ABOVE_BOUNDS) {
-            // Rises and falls cancel out where the wanted share of jobs lies above.
+        for (bound, above) in bounds.iter_mut().zip(FRACTIONS_ABOVE_BOUNDS) {
+            // Upward and downward steps balance when the target fraction of jobs is above the
+            // bound.
             *bound += if work > *bound {
                 BOUND_STEP * (1.0 - above)
             } else {
@@ -127,23 +128,23 @@
     }
 }
 
-impl Share {
-    fn note(&mut self, now: Timestamp, is_in_time: bool) {
-        let left = self.left(now);
-        self.answered = self.answered * left + 1.0;
-        self.served = self.served * left + f64::from(u8::from(is_in_time));
-        self.noted = now;
+impl OnTimeRate {
+    fn record(&mut self, now: Timestamp, is_on_time: bool) {
+        let decay = self.decay(now);
+        self.answered = self.answered * decay + 1.0;
+        self.on_time = self.on_time * decay + f64::from(u8::from(is_on_time));
+        self.updated_at = now;
     }
 
     fn ratio(&self, now: Timestamp, prior: f64) -> f64 {
-        let left = self.left(now);
-        (self.served * left + PRIOR * prior) / (self.answered * left + PRIOR)
+        let decay = self.decay(now);
+        (self.on_time * decay + PRIOR_WEIGHT * prior) / (self.answered * decay + PRIOR_WEIGHT)
     }
 
-    /// What an answer of the time of the last one counts now.
+    /// Decay factor of the counts since the last update.
     #[expect(clippy::cast_precision_loss, reason = "spans are far below 2^52")]
-    fn left(&self, now: Timestamp) -> f64 {
-        let half_lives = now.since(self.noted).0 as f64 / HALF_LIFE.0 as f64;
+    fn decay(&self, now: Timestamp) -> f64 {
+        let half_lives = now.since(self.updated_at).0 as f64 / HALF_LIFE.0 as f64;
         0.5_f64.powf(half_lives)
     }
 }
--- a/laurelstile-core/src/leased/gateway/stages.rs
+++ b/laurelstile-core/src/leased/gateway/stages.rs
@@ -1,14 +1,15 @@
-//! The stages of a job's way through a gateway.
+//! Breakdown of a job's response time into stages.
 
 use laurelstile_types::time::Span;
 
-/// Where the time of a job went, from its caller's sending to its answer.
+/// Time that a job spent in each stage, from its sending by the caller to its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageTimes {
-    /// On the way in, before the gateway saw it.
+    /// In transit, before the gateway received it.
     pub way_in: Span,
-    /// In the gateway, until its first task was sent to an agent, or else until its answer.
+    /// Queued in the gateway, until the first task was sent to an agent or, if none was, until
+    /// the answer.
     pub waiting: Span,
-    /// From then to its answer.
+    /// From the first start to the answer.
     pub working: Span,
 }
--- a/laurelstile-core/src/leased/gateway/standstill.rs
+++ b/laurelstile-core/src/leased/gateway/standstill.rs
@@ -1,50 +1,53 @@
-//! A gateway that has stood still reads what came meanwhile before it places any job: the
-//! cancel of a job may wait behind the call that hands it in.
+//! Detects that the gateway process was suspended. Before it places any job it then processes
+//! the messages that arrived in the meantime: the cancellation of a job may be queued behind
+//! its submission.
 
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::LeasedGateway;
 use crate::leased::task::JobId;
 
-/// A gateway that was not woken for longer has stood still: it looks at the time at least every
-/// 500 ms. Callers that left during a shorter one have not handed in again.
-const STANDSTILL: Span = Span::from_millis(700);
-/// How long no job is placed after it: callers may have left and handed their jobs in
-/// elsewhere, or cancelled them, and the readings of agents that are taken in first are fresh. A
-/// thin machine (0.12 cores) has 12 ms of processor time in it to read what waits at its sockets.
-const READING_TIME: Span = Span::from_millis(100);
+/// A longer interval between flushes means that the process was suspended, since it is woken
+/// at least every 500 ms. Shorter pauses are harmless: callers that disconnect do not resubmit
+/// within this time.
+const SUSPENSION_THRESHOLD: Span = Span::from_millis(700);
+/// How long placement is delayed after a suspension. Callers may have disconnected and
+/// resubmitted or cancelled their jobs elsewhere. The time has to suffice to read the socket
+/// backlog even on a fraction of a core.
+const BACKLOG_READ_TIME: Span = Span::from_millis(100);
 
-/// When the gateway ran last, and what it has to read first after a standstill.
+/// Suspension detection and the resulting delay of placement.
 #[derive(Debug, Default)]
-pub struct Standstill {
+pub struct ProcessSuspension {
     last_flush: Timestamp,
-    /// Until when jobs are held back.
-    reading_until: Timestamp,
+    /// End of the delay after a suspension; in the past if there was none.
+    backlog_read_until: Timestamp,
 }
 
-impl Standstill {
-    /// Whether jobs are held back until what waited at the sockets has been read.
-    pub fn is_reading(&self, now: Timestamp) -> bool {
-        now < self.reading_until
+impl ProcessSuspension {
+    /// Whether placement is delayed until the backlog has been read.
+    pub fn is_reading_backlog(&self, now: Timestamp) -> bool {
+        now < self.backlog_read_until
     }
 
-    /// Until when jobs are held back.
-    pub fn reading_until(&self) -> Timestamp {
-        self.reading_until
+    /// End of the delay after a suspension; in the past if there was none.
+    pub fn backlog_read_until(&self) -> Timestamp {
+        self.backlog_read_until
     }
 }
 
 impl LeasedGateway {
-    /// Notes that the gateway runs, and holds back its jobs after a standstill.
-    pub(super) fn note_awake(&mut self, now: Timestamp) {
-        let last_flush = std::mem::replace(&mut self.standstill.last_flush, now);
-        if now.since(last_flush) <= STANDSTILL {
+    /// Records that the process is running, and delays the placement of all jobs after a
+    /// suspension.
+    pub(super) fn detect_suspension(&mut self, now: Timestamp) {
+        let last_flush = std::mem::replace(&mut self.suspension.last_flush, now);
+        if now.since(last_flush) <= SUSPENSION_THRESHOLD {
             return;
         }
-        self.standstill.reading_until = now.after(READING_TIME);
-        let held: Vec<JobId> = self.jobs.keys().copied().collect();
-        for id in held {
-            self.pause(id, self.standstill.reading_until);
+        self.suspension.backlog_read_until = now.after(BACKLOG_READ_TIME);
+        let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
+        for id in jobs {
+            self.delay_placement(id, self.suspension.backlog_read_until);
         }
     }
 }
--- a/laurelstile-core/src/leased/gateway/start_window.rs
+++ b/laurelstile-core/src/leased/gateway/start_window.rs
@@ -1,14 +1,13 @@
-//! How many bytes of starts a gateway has under way to its agents.
+//! Congestion window for start batches sent to agents.
 //!
-//! A gateway's link may be thin. Starts that wait in it grow stale, agents refuse them,
-//! and sending them again fills the link further: without a bound, a burst of three times
-//! the usual load for 5 s over links of 2 Mbit/s ends the service for the rest of a run,
-//! long after the burst. So starts wait in the gateway instead, where the most urgent goes
-//! first and a job of which nothing was sent can still be refused.
+//! The gateway's link may be narrow. Starts that are queued in it become stale and are refused
+//! by agents, and sending them again adds to the congestion, which can then outlast the burst
+//! that caused it. Beyond the window, starts therefore wait in the gateway, where the most
+//! urgent one goes first and a job of which nothing was sent can still be refused.
 //!
-//! The bound follows the time from a start to the report that it was taken in, there and
-//! back, since what starts also brings reports and ends over the way in. The shortest of
-//! some delays counts: a full link delays all batches, a slow or frozen agent its own.
+//! The window follows the time from sending a batch to the report that the agent has processed
+//! it, since the starts also cause reports and ends on the return path. The minimum over
+//! several batches is used: a congested link delays all of them, a slow agent only its own.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,84 +16,89 @@
 
 use crate::leased::timing::START_FRESHNESS;
 
-/// Bytes that may always be under way: some six batches, so that a gateway that was
-/// wrong about its link finds out.
-const LEAST_BYTES: u64 = 4 * 1024;
-/// Bytes at the begin. At the usual load of a gateway some 2 KB are under way.
-const FIRST_BYTES: u64 = 16 * 1024;
-/// More is never needed: as much as a link of 1 Gbit/s carries in 50 ms.
-const MOST_BYTES: u64 = 6 * 1024 * 1024;
-/// The time from a start to its report that is aimed at: an agent reports after up to
-/// 15 ms, and a start stays good for 300 ms.
-const AIMED_DELAY: Span = Span::from_millis(60);
-/// Batches whose shortest delay counts.
-const SAMPLES: usize = 8;
-/// After so long a batch is taken for stale or lost, and counts no more.
-const FORGOTTEN_AFTER: Span = START_FRESHNESS;
-/// The smallest part that is left of the bound in one step.
-const LEAST_PART: f64 = 0.5;
-
-/// A batch that no report has taken into account yet.
+/// Minimum window: about six batches, so that the window can recover after it was reduced too
+/// far.
+const MIN_WINDOW_BYTES: u64 = 4 * 1024;
+/// Initial window, several times what is in flight at a gateway's usual load.
+const INITIAL_WINDOW_BYTES: u64 = 16 * 1024;
+/// Maximum window: what a link of 1 Gbit/s carries in 50 ms.
+const MAX_WINDOW_BYTES: u64 = 6 * 1024 * 1024;
+/// Target for the time from a batch to its report. An agent reports within 15 ms, and a start
+/// is valid for 300 ms.
+const TARGET_DELAY: Span = Span::from_millis(60);
+/// Number of latest batches whose minimum delay is used.
+const DELAY_SAMPLES: usize = 8;
+/// Unreported batches older than this are stale or lost and are no longer counted.
+const BATCH_EXPIRY: Span = START_FRESHNESS;
+/// Lower limit of the factor by which one step reduces the window.
+const MIN_REDUCTION_FACTOR: f64 = 0.5;
+
+/// A batch that no report has acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct Batch {
-    sent: Timestamp,
+    sent_at: Timestamp,
     bytes: u64,
 }
 
-/// The bound, and what is under way.
+/// The window and the batches in flight.
 #[derive(Debug)]
 pub struct StartWindow {
-    bound: u64,
-    under_way: u64,
+    window_bytes: u64,
+    in_flight: u64,
     batches: BTreeMap<(Incarnation, u64), Batch>,
-    /// The same in the order in which they were sent.
-    sent: VecDeque<(Timestamp, Incarnation, u64)>,
-    /// Delays of the last batches that were reported.
+    /// The batches in sending order.
+    send_order: VecDeque<(Timestamp, Incarnation, u64)>,
+    /// Delays of the latest reported batches.
     delays: VecDeque<Span>,
-    lowered: Timestamp,
-    /// Whether a start had to wait since the bound was last raised.
-    was_full: bool,
+    last_reduced: Timestamp,
+    /// Whether a start had to wait for the window since it was last enlarged.
+    was_limited: bool,
 }
 
 impl Default for StartWindow {
     fn default() -> Self {
         Self {
-            bound: FIRST_BYTES,
-            under_way: 0,
+            window_bytes: INITIAL_WINDOW_BYTES,
+            in_flight: 0,
             batches: BTreeMap::new(),
-            sent: VecDeque::new(),
+            send_order: VecDeque::new(),
             delays: VecDeque::new(),
-            lowered: Timestamp::default(),
-            was_full: false,
+            last_reduced: Timestamp::default(),
+            was_limited: false,
         }
     }
 }
 
 impl StartWindow {
-    /// Whether another batch may be sent.
+    /// Whether the window has space for another batch.
     pub fn is_open(&self) -> bool {
-        self.under_way < self.bound
+        self.in_flight < self.window_bytes
     }
 
-    /// Notes that a start waits for the window.
-    pub fn note_full(&mut self) {
-        self.was_full = true;
+    /// Records that a start has to wait for the window.
+    pub fn record_blocked(&mut self) {
+        self.was_limited = true;
     }
 
-    /// The bound, in bytes.
-    pub fn bound(&self) -> u64 {
-        self.bound
+    /// Current size of the window, in bytes.
+    pub fn window_bytes(&self) -> u64 {
+        self.window_bytes
     }
 
-    /// A batch is sent.
+    /// Records a sent batch.
     pub fn on_sent(&mut self, now: Timestamp, agent: Incarnation, number: u64, bytes: u64) {
-        self.batches
-            .insert((agent, number), Batch { sent: now, bytes });
-        self.sent.push_back((now, agent, number));
-        self.under_way += bytes;
+        self.batches.insert(
+            (agent, number),
+            Batch {
+                sent_at: now,
+                bytes,
+            },
+        );
+        self.send_order.push_back((now, agent, number));
+        self.in_flight += bytes;
     }
 
-    /// An agent reports that it has taken in its batches up to `processed`.
+    /// Handles an agent's report that it has processed its batches up to number `processed`.
     pub fn on_report(&mut self, now: Timestamp, agent: Incarnation, processed: u64) {
         let reported = self.batches.range((agent, 0)..=(agent, processed));
         let numbers: Vec<u64> = reported.map(|((_, number), _)| *number).collect();
@@ -102,16 +106,17 @@
             .into_iter()
             .filter_map(|number| self.remove(agent, number))
             .collect();
-        let Some(youngest) = batches.last() else {
+        let Some(newest) = batches.last() else {
             return;
         };
-        let delay = now.since(youngest.sent);
-        self.note_delay(delay);
+        let delay = now.since(newest.sent_at);
+        self.record_delay(delay);
         self.adapt(now, batches.iter().map(|batch| batch.bytes).sum());
     }
 
-    /// A session to an agent begins or ends: its batches are reported no more.
-    pub fn forget(&mut self, agent: Incarnation) {
+    /// Removes an agent's batches when its session begins or ends, since they will not be
+    /// reported.
+    pub fn remove_agent(&mut self, agent: Incarnation) {
         let of_agent = self.batches.range((agent, 0)..=(agent, u64::MAX));
         let numbers: Vec<u64> = of_agent.map(|((_, number), _)| *number).collect();
         for number in numbers {
@@ -119,61 +124,63 @@
         }
     }
 
-    /// Forgets what was sent so long ago that it is stale.
+    /// Removes batches that have expired.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some((sent, agent, number)) = self.sent.front().copied() {
+        while let Some((sent, agent, number)) = self.send_order.front().copied() {
             let is_known = self
                 .batches
                 .get(&(agent, number))
-                .is_some_and(|batch| batch.sent == sent);
-            if is_known && now.since(sent) < FORGOTTEN_AFTER {
+                .is_some_and(|batch| batch.sent_at == sent);
+            if is_known && now.since(sent) < BATCH_EXPIRY {
                 return;
             }
-            self.sent.pop_front();
+            self.send_order.pop_front();
             if is_known {
                 self.remove(agent, number);
             }
         }
     }
 
-    /// When a batch under way is forgotten next, if that opens the window.
+    /// Expiry of the oldest tracked batch, or `None` if the window is open or nothing is
+    /// tracked.
     pub fn opens_at(&self) -> Option<Timestamp> {
-        let (sent, _, _) = self.sent.front()?;
-        (!self.is_open()).then(|| sent.after(FORGOTTEN_AFTER))
+        let (sent, _, _) = self.send_order.front()?;
+        (!self.is_open()).then(|| sent.after(BATCH_EXPIRY))
     }
 
     fn remove(&mut self, agent: Incarnation, number: u64) -> Option<Batch> {
         let batch = self.batches.remove(&(agent, number))?;
-        self.under_way -= batch.bytes;
+        self.in_flight -= batch.bytes;
         Some(batch)
     }
 
-    fn note_delay(&mut self, delay: Span) {
+    fn record_delay(&mut self, delay: Span) {
         self.delays.push_back(delay);
-        if self.delays.len() > SAMPLES {
+        if self.delays.len() > DELAY_SAMPLES {
             self.delays.pop_front();
         }
     }
 
-    /// Raises the bound by what was carried in good time, if it was reached; lowers it
-    /// by the part by which the delay is too long, once for each such delay.
-    fn adapt(&mut self, now: Timestamp, carried: u64) {
-        if self.delays.len() < SAMPLES {
+    /// Enlarges the window by the acknowledged bytes if it was the limit and the delay is on
+    /// target. Otherwise shrinks it in proportion to the excess delay, at most once per delay.
+    fn adapt(&mut self, now: Timestamp, acknowledged_bytes: u64) {
+        if self.delays.len() < DELAY_SAMPLES {
             return;
         }
         let Some(delay) = self.delays.iter().min().copied() else {
             return;
         };
-        if delay <= AIMED_DELAY {
-            if self.was_full {
-                self.was_full = !self.is_open();
-                self.bound = (self.bound + carried).min(MOST_BYTES);
+        if delay <= TARGET_DELAY {
+            if self.was_limited {
+                self.was_limited = !self.is_open();
+                self.window_bytes = (self.window_bytes + acknowledged_bytes).min(MAX_WINDOW_BYTES);
             }
-        } else if now.since(self.lowered) >= delay.max(AIMED_DELAY) {
-            self.lowered = now;
-            let part = AIMED_DELAY.0 as f64 / delay.0 as f64;
-            let lowered = self.bound.min(self.under_way.max(LEAST_BYTES)) as f64;
-            self.bound = ((lowered * part.max(LEAST_PART)) as u64).max(LEAST_BYTES);
+        } else if now.since(self.last_reduced) >= delay.max(TARGET_DELAY) {
+            self.last_reduced = now;
+            let factor = TARGET_DELAY.0 as f64 / delay.0 as f64;
+            let reduced = self.window_bytes.min(self.in_flight.max(MIN_WINDOW_BYTES)) as f64;
+            self.window_bytes =
+                ((reduced * factor.max(MIN_REDUCTION_FACTOR)) as u64).max(MIN_WINDOW_BYTES);
         }
     }
 }
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -1,10 +1,9 @@
-//! Tasks under which workers have crashed: placed apart from each other, then alone, then
-//! not at all.
+//! Placement of tasks during which workers have crashed: first on separate workers, then
+//! exclusively, then not at all.
 //!
-//! Without a bound, one task took down eleven workers of eleven within 0.7 s, and nobody
-//! was served until they were back. The victims of a crash go to different workers: sent on
-//! together, four sound tasks went down with the same task up to 13 times, and nothing told
-//! them from it.
+//! Without a limit, a single task can crash every worker of a service in turn. The tasks that
+//! a crash interrupted are placed on different workers; if they stayed together, every further
+//! crash would hit all of them and the cause could not be told from the others.
 
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -17,55 +16,55 @@
 use crate::leased::task::{JobId, TaskId};
 use crate::session::SessionId;
 
-/// Tasks of a gateway that run alone at a time. Each holds a worker for the length of its
-/// run, and may take it down.
-const MOST_ALONE: usize = 1;
-/// Suspects that may wait to run alone. A job whose turn would come later is given up at
-/// once: its caller is told when to come back, and the crashes are remembered.
-const MOST_SUSPECTS_WAITING: usize = 3;
-/// A worker is kept for a task of one early crash alone if so much of it is free, in thousandths.
+/// Maximum number of tasks that run exclusively at a time. Each occupies a whole worker, and
+/// may crash it.
+const MAX_EXCLUSIVE_TASKS: usize = 1;
+/// Maximum number of jobs whose suspects wait to run exclusively. Further ones are given up at
+/// once; their crashes are retained for a resubmission.
+const MAX_SUSPECTS_WAITING: usize = 3;
+/// Minimum free part of a worker, in thousandths, on which a task with one early crash runs
+/// exclusively.
 const IDLE_PERMILLE: u64 = 300;
-/// How long a task that is to run alone may wait at its worker until the others there have
-/// ended: most tasks take less than a second.
-pub(super) const ALONE_PATIENCE: Span = Span::from_millis(1_000);
+/// How long an exclusive task may wait at its worker for the other tasks there to end.
+pub(super) const EXCLUSIVE_MAX_WAIT: Span = Span::from_millis(1_000);
 
 impl LeasedGateway {
-    /// Takes in crashed workers, and gives what of it is news here.
+    /// Records worker crashes and returns the parts that were not known yet.
     fn on_crashes(
         &mut self,
         now: Timestamp,
         crashes: &[WorkerCrash],
         effects: &mut Vec<GatewayEffect>,
     ) -> Vec<WorkerCrash> {
-        let mut news = Vec::new();
+        let mut new_crashes = Vec::new();
         for crash in crashes {
             let tasks = self.crashes.note(now, crash);
             for task in &tasks {
-                self.on_crashed_under(now, *task, effects);
+                self.on_task_crash(now, *task, effects);
             }
-            news.extend(crash.narrowed(|task| tasks.contains(&task)));
+            new_crashes.extend(crash.narrowed(|task| tasks.contains(&task)));
         }
-        news
+        new_crashes
     }
 
-    /// A peer tells of crashed workers. What is news here is passed on.
-    pub(super) fn on_crashes_told(
+    /// Records crashes received from a peer and forwards those that are new here.
+    pub(super) fn on_peer_crashes(
         &mut self,
         now: Timestamp,
         source: SessionId,
         crashes: &[WorkerCrash],
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let news = self.on_crashes(now, crashes, effects);
-        if !news.is_empty() && !self.crashes.may_repeat(now) {
-            self.tell_other_peers(source, &ToPeer::Crashes(news), effects);
+        let new_crashes = self.on_crashes(now, crashes, effects);
+        if !new_crashes.is_empty() && !self.crashes.may_repeat(now) {
+            self.forward_to_peers(source, &ToPeer::Crashes(new_crashes), effects);
         }
     }
 
-    /// An agent tells of crashed workers: what touches jobs of this gateway is passed on, so
-    /// that a caller who hands in again elsewhere finds it known there. Other gateways
-    /// hear of theirs from the agent.
-    pub(super) fn on_crashes_at_agent(
+    /// Records crashes reported by an agent. Those that affect local jobs are sent to peers,
+    /// so that the crashes count if the caller resubmits elsewhere. Other gateways hear of
+    /// their own jobs' crashes from the agent.
+    pub(super) fn on_agent_crashes(
         &mut self,
         now: Timestamp,
         crashes: &[WorkerCrash],
@@ -78,18 +77,18 @@
         if own.is_empty() {
             return;
         }
-        self.tell_peers(&ToPeer::Crashes(own), effects);
+        self.broadcast_to_peers(&ToPeer::Crashes(own), effects);
     }
 
-    /// One more worker has crashed under a task.
-    fn on_crashed_under(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<GatewayEffect>) {
+    /// Handles another crash of a worker that ran a task.
+    fn on_task_crash(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<GatewayEffect>) {
         let standing = self.crashes.standing(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        job.set_apart(task);
+        job.separate(task);
         if standing >= Standing::Suspect {
-            self.note_suspect(now, task, effects);
+            self.record_suspect(now, task, effects);
             effects.push(GatewayEffect::Decided(GatewayDecision::Suspected {
                 task,
                 is_given_up: standing == Standing::Poison,
@@ -98,37 +97,37 @@
         }
         match standing {
             Standing::Poison => self.finish(now, task.job, Answer::Failed, effects),
-            Standing::Suspect if self.suspects_waiting() >= MOST_SUSPECTS_WAITING => {
+            Standing::Suspect if self.suspects_waiting() >= MAX_SUSPECTS_WAITING => {
                 self.finish(now, task.job, Answer::GivenUp, effects);
             }
             _ => {}
         }
     }
 
-    /// The task of a job that is not to be started again, if there is one.
+    /// The task of a job that must not be started again, if there is one.
     pub(super) fn poison_task_of(&self, job: JobId) -> Option<TaskId> {
         let mut tasks = self.crashes.tasks_of(job);
         tasks.find(|task| self.crashes.standing(*task) == Standing::Poison)
     }
 
-    /// Sets those tasks of a new job apart under which workers have crashed elsewhere.
-    pub(super) fn set_known_apart(&self, job: &mut Job) {
+    /// Separates those tasks of a new job during which workers have already crashed.
+    pub(super) fn separate_crashed_tasks(&self, job: &mut Job) {
         for task in self.crashes.tasks_of(job.id) {
-            job.set_apart(task);
+            job.separate(task);
         }
     }
 
-    /// Jobs with a suspect that is not at a worker.
+    /// Number of jobs with a suspect that waits for a worker.
     fn suspects_waiting(&self) -> usize {
         let has_suspect = |job: &&Job| {
-            job.waiting_apart()
+            job.waiting_separated()
                 .any(|task| self.crashes.standing(task) == Standing::Suspect)
         };
         self.jobs.values().filter(has_suspect).count()
     }
 
-    /// Places the tasks of a step that go one by one; `false` if some found no room.
-    pub(super) fn place_apart(
+    /// Places the separated tasks of a step; returns `false` if some did not fit.
+    pub(super) fn place_separated(
         &mut self,
         now: Timestamp,
         id: JobId,
@@ -138,14 +137,14 @@
         let Some(job) = self.jobs.get(&id) else {
             return true;
         };
-        let waiting: Vec<u32> = job.steps[step].apart.iter().copied().collect();
+        let waiting: Vec<u32> = job.steps[step].separated.iter().copied().collect();
         let mut are_placed = true;
         for index in waiting {
             if !self.start_window.is_open() {
-                self.start_window.note_full();
+                self.start_window.record_blocked();
                 return false;
             }
-            match self.worker_apart(now, id, step, index) {
+            match self.worker_for_separated(now, id, step, index) {
                 Some(candidate) => self.place(now, id, step, candidate, effects),
                 None => are_placed = false,
             }
@@ -153,8 +152,8 @@
         are_placed
     }
 
-    /// The worker for a task that goes by itself.
-    fn worker_apart(
+    /// The placement of a separated task, or `None` if no worker can take it now.
+    fn worker_for_separated(
         &self,
         now: Timestamp,
         id: JobId,
@@ -163,21 +162,21 @@
     ) -> Option<Candidate> {
         let standing = self.crashes.standing(task_id(id, step, index));
         if standing == Standing::Suspect {
-            return self.worker_alone(now, id, step, index, 0);
+            return self.exclusive_worker(now, id, step, index, 0);
         }
         if standing == Standing::OneEarlyCrash {
-            let idle = self.worker_alone(now, id, step, index, IDLE_PERMILLE);
+            let idle = self.exclusive_worker(now, id, step, index, IDLE_PERMILLE);
             if idle.is_some() {
                 return idle;
             }
         }
-        let has_other = |agent| self.has_task_apart(agent);
+        let has_other = |agent| self.has_separated_task(agent);
         let candidate = self.best_worker_of(now, id, step, 1, |agent| !has_other(agent))?;
-        Some(candidate.apart(index))
+        Some(candidate.with_separated(index))
     }
 
-    /// Whether a worker has a task of ours under which another has crashed.
-    pub(super) fn has_task_apart(&self, agent: Incarnation) -> bool {
+    /// Whether a worker holds a task of this gateway during which another worker has crashed.
+    pub(super) fn has_separated_task(&self, agent: Incarnation) -> bool {
         if self.crashes.is_empty() {
             return false;
         }
@@ -186,9 +185,10 @@
         tasks.any(|task| self.crashes.standing(*task) != Standing::Clear)
     }
 
-    /// The first task of a step that waits to go by itself beside sound ones.
-    pub(super) fn first_task_apart(&self, job: &Job, step: usize) -> Option<u32> {
-        let mut waiting = job.steps[step].apart.iter();
+    /// The first waiting separated task of a step that may share a worker with unsuspected
+    /// tasks.
+    pub(super) fn first_separated_task(&self, job: &Job, step: usize) -> Option<u32> {
+        let mut waiting = job.steps[step].separated.iter();
         let may_share = |index: &&u32| {
             let task = task_id(job.id, step, **index);
             self.crashes.standing(task) != Standing::Suspect
@@ -196,9 +196,9 @@
         waiting.find(may_share).copied()
     }
 
-    /// The worker on which a task is to run alone: the emptiest that may take it, if as much
-    /// of it is free, in thousandths.
-    fn worker_alone(
+    /// The placement of a task that runs exclusively: on the emptiest suitable worker, if at
+    /// least `least_free` thousandths of it are free.
+    fn exclusive_worker(
         &self,
         now: Timestamp,
         id: JobId,
@@ -206,8 +206,11 @@
         index: u32,
         least_free: u64,
     ) -> Option<Candidate> {
-        let alone = self.workers.values().filter(|worker| worker.has_alone());
-        if alone.count() >= MOST_ALONE {
+        let exclusive = self
+            .workers
+            .values()
+            .filter(|worker| worker.has_exclusive_task());
+        if exclusive.count() >= MAX_EXCLUSIVE_TASKS {
             return None;
         }
         let job = self.jobs.get(&id)?;
@@ -216,11 +219,11 @@
         let usable = self.workers.iter().filter(|(agent, worker)| {
             let capacity = worker.snapshot.as_ref().map(|known| known.capacity);
             worker.is_usable(now, service)
-                && self.is_open_to(&job.queue, **agent)
+                && self.may_use_worker(&job.queue, **agent)
                 && capacity.is_some_and(|capacity| request.room.fits(capacity))
-                && worker.fulfils(request)
+                && worker.has_required_label(request)
         });
         let (agent, worker) = usable.max_by_key(|(_, worker)| worker.free_permille())?;
-        (worker.free_permille() >= least_free).then(|| Candidate::alone(*agent, index))
+        (worker.free_permille() >= least_free).then(|| Candidate::exclusive(*agent, index))
     }
 }
--- a/laurelstile-core/src/leased/gateway/way_in.rs
+++ b/laurelstile-core/src/leased/gateway/way_in.rs
@@ -1,9 +1,9 @@
-//! How long what comes to this gateway has waited on the way.
+//! Estimates the ingress delay of callers' requests.
 //!
-//! Callers' calls and agents' messages come over one link. Calls tell no time, but agents'
-//! messages carry their clock. So while they come late, calls have waited as long, and
-//! their jobs count from then: what can no longer be served in time is refused at once,
-//! with the truth that nothing of it ran.
+//! Requests and agents' messages share the gateway's link. Requests carry no timestamp, but
+//! agents' messages do. The queueing delay of the messages is therefore taken as that of the
+//! requests and counted into the age of their jobs, so that a job that can no longer complete
+//! on time is refused at once and nothing of it runs.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,13 +12,13 @@
 
 use super::path_delay::PathDelay;
 
-/// Messages whose shortest delay counts: a link that is full delays them all, an agent
-/// that is slow its own.
-const SAMPLES: usize = 8;
-/// Messages count for so long.
-const SAMPLE_AGE: Span = Span::from_millis(200);
+/// Number of latest messages whose minimum delay is used: a congested link delays all of them,
+/// a slow agent only its own.
+const DELAY_SAMPLES: usize = 8;
+/// Maximum age of the messages.
+const MAX_SAMPLE_AGE: Span = Span::from_millis(200);
 
-/// The delays of the last messages.
+/// Queueing delays of the latest messages from agents.
 #[derive(Debug, Default)]
 pub struct WayIn {
     paths: BTreeMap<Incarnation, PathDelay>,
@@ -26,29 +26,29 @@
 }
 
 impl WayIn {
-    /// A message that an agent sent at `clock`, its own clock, is taken in.
-    pub fn note(&mut self, now: Timestamp, agent: Incarnation, clock: Timestamp) {
+    /// Records a message that an agent sent at `clock`, on the agent's clock.
+    pub fn record(&mut self, now: Timestamp, agent: Incarnation, clock: Timestamp) {
         let path = self.paths.entry(agent).or_default();
-        let delay = path.note(clock, now);
+        let delay = path.record(clock, now);
         self.delays.push_back((now, delay));
-        if self.delays.len() > SAMPLES {
+        if self.delays.len() > DELAY_SAMPLES {
             self.delays.pop_front();
         }
     }
 
-    /// How long what comes now has waited; none if too little came lately to tell.
+    /// Current ingress delay; zero if there are too few recent messages to tell.
     pub fn delay(&self, now: Timestamp) -> Span {
         let oldest = self.delays.front();
-        let are_recent = oldest.is_some_and(|(at, _)| now.since(*at) <= SAMPLE_AGE);
-        if self.delays.len() < SAMPLES || !are_recent {
+        let are_recent = oldest.is_some_and(|(at, _)| now.since(*at) <= MAX_SAMPLE_AGE);
+        if self.delays.len() < DELAY_SAMPLES || !are_recent {
             return Span::default();
         }
         let delays = self.delays.iter().map(|(_, delay)| *delay);
         delays.min().unwrap_or_default()
     }
 
-    /// An agent is gone for good.
-    pub fn forget(&mut self, agent: Incarnation) {
+    /// Removes the path of an agent that will not return.
+    pub fn remove_agent(&mut self, agent: Incarnation) {
         self.paths.remove(&agent);
     }
 }
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -1,4 +1,4 @@
-//! The workers as a gateway sees them, through their agents' reports.
+//! A gateway's view of the workers, from their agents' reports.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,57 +12,57 @@
 use super::job::StepRequest;
 use crate::session::SessionId;
 
-/// A batch of starts that no report has taken into account yet.
+/// A batch of starts that no report has acknowledged yet.
 #[derive(Clone, Copy, Debug)]
-struct Unreported {
+struct UnreportedBatch {
     number: u64,
     room: Room,
     tasks: u32,
 }
 
-/// A worker, by the incarnation of the agent beside it.
+/// State of a worker and of the session with its agent. Keyed by the incarnation of the agent.
 #[derive(Debug)]
 pub struct Worker {
-    /// Name of the agent.
+    /// Name of the agent, which outlives its process.
     pub name: String,
-    /// Its session, if one is open.
+    /// The open session, if any.
     pub session: Option<SessionId>,
-    /// What the worker is; `None` before its agent has it under control.
+    /// The agent's latest snapshot on this session; `None` before the agent has the worker
+    /// under control.
     pub snapshot: Option<Snapshot>,
-    /// The latest report.
+    /// Latest report of load and free resources.
     pub report: Report,
-    /// The latest reading of the agent's clock.
+    /// Latest timestamp of the agent's clock.
     pub clock: Timestamp,
-    /// The reading that was last echoed.
+    /// Timestamp that was last echoed to the agent.
     pub echoed: Timestamp,
-    /// When the agent was last heard.
-    pub heard: Timestamp,
-    /// When something was last sent to it.
+    /// Time of the latest message from the agent.
+    pub last_heard: Timestamp,
+    /// Time of the latest message to the agent.
     pub last_sent: Timestamp,
-    /// Whether no reading of its clock was echoed over its session yet.
+    /// Whether no timestamp has been echoed on this session yet.
     pub awaits_echo: bool,
-    /// The highest number of an end that was taken in.
+    /// Highest number of a received end.
     pub seen: u64,
-    /// The highest number that was acknowledged.
+    /// Highest number of an acknowledged end.
     pub acknowledged: u64,
-    /// This gateway's tasks there.
+    /// This gateway's tasks at the agent.
     pub tasks: BTreeMap<TaskId, RunNumber>,
-    /// Those of them that nobody waits for any more.
+    /// Those of the tasks that were given up and are to be stopped.
     unwanted: BTreeSet<TaskId>,
-    /// Whether its life has crashed and no other is under control yet.
+    /// Whether the worker has crashed and no new incarnation is under control yet.
     pub has_crashed: bool,
-    /// The task that is to run alone there.
-    pub alone: Option<TaskId>,
-    /// Room that its agent holds for this gateway, not answered yet.
+    /// The latest task that was placed there to run exclusively.
+    pub exclusive_task: Option<TaskId>,
+    /// Resources that the agent reserves for this gateway, not answered yet.
     pub offers: Vec<Offer>,
-    /// Whether its zone is evacuated.
     pub is_evacuated: bool,
     batches: u64,
-    unreported: VecDeque<Unreported>,
+    unreported: VecDeque<UnreportedBatch>,
 }
 
 impl Worker {
-    /// A worker whose agent has just been met.
+    /// Creates the state of a worker whose agent has just connected for the first time.
     pub fn new(now: Timestamp, name: String) -> Self {
         Self {
             name,
@@ -76,7 +76,7 @@
             },
             clock: Timestamp::default(),
             echoed: Timestamp::default(),
-            heard: now,
+            last_heard: now,
             last_sent: now,
             awaits_echo: true,
             seen: 0,
@@ -84,7 +84,7 @@
             tasks: BTreeMap::new(),
             unwanted: BTreeSet::new(),
             has_crashed: false,
-            alone: None,
+            exclusive_task: None,
             offers: Vec::new(),
             is_evacuated: false,
             batches: 0,
@@ -92,12 +92,12 @@
         }
     }
 
-    /// A new session is open.
-    pub fn open(&mut self, now: Timestamp, session: SessionId) {
+    /// Resets the session state for a new session.
+    pub fn open_session(&mut self, now: Timestamp, session: SessionId) {
         self.session = Some(session);
         self.snapshot = None;
         self.report.limit = 0;
-        self.heard = now;
+        self.last_heard = now;
         self.last_sent = now;
         self.awaits_echo = true;
         self.batches = 0;
@@ -105,44 +105,44 @@
         self.unreported.clear();
     }
 
-    /// Nobody waits for a job any more: its tasks here, which are to be stopped.
-    pub fn give_up(&mut self, job: JobId) -> Vec<TaskId> {
+    /// Marks a job's tasks as unwanted and returns them, to be stopped.
+    pub fn abandon_job(&mut self, job: JobId) -> Vec<TaskId> {
         let own = self.tasks.keys().filter(|task| task.job == job);
         let tasks: Vec<TaskId> = own.copied().collect();
         self.unwanted.extend(&tasks);
         tasks
     }
 
-    /// A task has been placed there.
-    pub fn place(&mut self, task: TaskId, run: RunNumber) {
+    /// Records a placed task.
+    pub fn add_task(&mut self, task: TaskId, run: RunNumber) {
         self.unwanted.remove(&task);
         self.tasks.insert(task, run);
     }
 
-    /// A task is there no more; its run, if it was.
-    pub fn end(&mut self, task: TaskId) -> Option<RunNumber> {
+    /// Removes a task; returns its run, or `None` if it was not there.
+    pub fn remove_task(&mut self, task: TaskId) -> Option<RunNumber> {
         self.unwanted.remove(&task);
         self.tasks.remove(&task)
     }
 
-    /// The tasks that are there no more, where the agent holds but `held`.
-    pub fn missing(&self, held: &[(TaskId, RunNumber)]) -> Vec<TaskId> {
+    /// The recorded tasks that are not among those the agent holds.
+    pub fn not_held(&self, held: &[(TaskId, RunNumber)]) -> Vec<TaskId> {
         let own = self.tasks.iter();
-        let missing = own.filter(|(task, run)| !held.contains(&(**task, **run)));
-        missing.map(|(task, _)| *task).collect()
+        let not_held = own.filter(|(task, run)| !held.contains(&(**task, **run)));
+        not_held.map(|(task, _)| *task).collect()
     }
 
-    /// What the agent holds and nobody waits for: the stop found no session, or was lost with
-    /// it.
-    pub fn left_over(&self, held: &[(TaskId, RunNumber)]) -> Vec<TaskId> {
+    /// The held tasks that are not wanted: their stop could not be sent, or was lost with a
+    /// session.
+    pub fn orphaned(&self, held: &[(TaskId, RunNumber)]) -> Vec<TaskId> {
         let is_wanted = |(task, run): &&(TaskId, RunNumber)| {
             self.tasks.get(task) == Some(run) && !self.unwanted.contains(task)
         };
-        let left_over = held.iter().filter(|held| !is_wanted(held));
-        left_over.map(|(task, _)| *task).collect()
+        let orphaned = held.iter().filter(|held| !is_wanted(held));
+        orphaned.map(|(task, _)| *task).collect()
     }
 
-    /// Takes a report in.
+    /// Applies a report, and drops the batches that it acknowledges.
     pub fn on_report(&mut self, report: Report) {
         self.report = report;
         while self
@@ -154,11 +154,11 @@
         }
     }
 
-    /// Number of the next batch, which has `tasks` tasks that take `room` together of
-    /// what was reported as free.
+    /// Records a batch of `tasks` tasks that use `room` of the reported free resources;
+    /// returns its number.
     pub fn next_batch(&mut self, room: Room, tasks: u32) -> u64 {
         self.batches += 1;
-        self.unreported.push_back(Unreported {
+        self.unreported.push_back(UnreportedBatch {
             number: self.batches,
             room,
             tasks,
@@ -166,15 +166,15 @@
         self.batches
     }
 
-    /// Room that is free, as far as this gateway knows.
-    pub fn free_room(&self) -> Room {
+    /// Estimated free resources: those reported, less those of unacknowledged batches.
+    pub fn free_resources(&self) -> Room {
         self.unreported
             .iter()
             .fold(self.report.free, |free, batch| free.minus(batch.room))
     }
 
-    /// Tasks that it may still be given.
-    pub fn limit(&self) -> u32 {
+    /// Number of tasks that the worker may still receive.
+    pub fn remaining_tasks(&self) -> u32 {
         self.unreported
             .iter()
             .fold(self.report.limit, |limit, batch| {
@@ -182,15 +182,15 @@
             })
     }
 
-    /// Takes in which zones are evacuated.
-    pub fn note_evacuations(&mut self, evacuations: &Evacuations) {
+    /// Updates whether the worker's zone is evacuated.
+    pub fn update_evacuation(&mut self, evacuations: &Evacuations) {
         let snapshot = self.snapshot.as_ref();
         self.is_evacuated = snapshot.is_some_and(|known| evacuations.covers(&known.zone));
     }
 
-    /// Whether it may be given tasks of `service` now.
+    /// Whether the worker may receive tasks of `service` now.
     pub fn is_usable(&self, now: Timestamp, service: &str) -> bool {
-        let silence = now.since(self.heard);
+        let silence = now.since(self.last_heard);
         let bound = if self.tasks.is_empty() {
             IDLE_SUSPICION
         } else {
@@ -206,67 +206,67 @@
                 .is_some_and(|snapshot| snapshot.service == service)
     }
 
-    /// Whether a task that is to run alone is there.
-    pub fn has_alone(&self) -> bool {
-        self.alone
+    /// Whether an exclusive task is at the worker.
+    pub fn has_exclusive_task(&self) -> bool {
+        self.exclusive_task
             .is_some_and(|task| self.tasks.contains_key(&task))
     }
 
-    /// How much of its room is free, in thousandths.
+    /// Free part of the worker's CPU capacity, in thousandths.
     pub fn free_permille(&self) -> u64 {
         let capacity = self.snapshot.as_ref().map(|known| known.capacity);
         let capacity = capacity.unwrap_or_default().cpu_millis.max(1);
-        u64::from(self.free_room().cpu_millis) * 1_000 / u64::from(capacity)
+        u64::from(self.free_resources().cpu_millis) * 1_000 / u64::from(capacity)
     }
 
-    /// Whether it has the label that a step asks for, if any.
-    pub fn fulfils(&self, request: &StepRequest) -> bool {
+    /// Whether the worker has the label that a step requires, if any.
+    pub fn has_required_label(&self, request: &StepRequest) -> bool {
         let label = request.label.as_ref();
         label.is_none_or(|label| self.has_label(label))
     }
 
-    /// Whether all its room is free.
+    /// Whether all resources of the worker are free.
     pub fn is_idle(&self) -> bool {
         let capacity = self.snapshot.as_ref().map(|snapshot| snapshot.capacity);
-        capacity == Some(self.free_room())
+        capacity == Some(self.free_resources())
     }
 
-    /// Whether its agent is there, whatever its worker does.
-    pub fn is_present(&self, now: Timestamp) -> bool {
-        self.session.is_some() && now.since(self.heard) <= IDLE_SUSPICION
+    /// Whether the agent is connected and was heard recently, regardless of the worker's
+    /// state.
+    pub fn is_reachable(&self, now: Timestamp) -> bool {
+        self.session.is_some() && now.since(self.last_heard) <= IDLE_SUSPICION
     }
 
-    /// When its runs are over for certain, if nothing is heard of its agent.
-    pub fn lapses_at(&self) -> Timestamp {
-        self.heard.after(Span(LAPSE_AFTER_SILENCE.0 + 1))
+    /// When all runs at the agent are certain to have ended if nothing more is heard of it.
+    pub fn expires_at(&self) -> Timestamp {
+        self.last_heard.after(Span(LAPSE_AFTER_SILENCE.0 + 1))
     }
 
-    /// Whether it has a label.
     pub fn has_label(&self, label: &str) -> bool {
         self.snapshot
             .as_ref()
             .is_some_and(|snapshot| snapshot.labels.iter().any(|own| own == label))
     }
 
-    /// Notes that a message with all that is owed is sent at `now`.
-    pub fn note_sent(&mut self, now: Timestamp) {
+    /// Records that a message with the current echo and acknowledgement is sent.
+    pub fn record_sent(&mut self, now: Timestamp) {
         self.awaits_echo &= self.clock <= self.echoed;
         self.last_sent = now;
         self.echoed = self.clock;
         self.acknowledged = self.seen;
     }
 
-    /// When a heartbeat is due: an end is to be acknowledged, or a reading echoed. The first
-    /// reading over a session is echoed at once: the agent's runs live on for this gateway by
-    /// its readings alone, and a break of the session has let the last one grow old.
-    pub fn beat_due(&self) -> Option<Timestamp> {
+    /// When a heartbeat is due to acknowledge an end or echo a timestamp. The first timestamp
+    /// on a session is echoed at once: the agent keeps this gateway's runs alive only while
+    /// its echoes are recent, and the last one may have aged while there was no session.
+    pub fn heartbeat_due(&self) -> Option<Timestamp> {
         self.session?;
-        let owes_answer = self.clock > self.echoed || self.seen > self.acknowledged;
-        let pause = if self.awaits_echo {
+        let needs_heartbeat = self.clock > self.echoed || self.seen > self.acknowledged;
+        let interval = if self.awaits_echo {
             Span::default()
         } else {
             BUSY_HEARTBEAT
         };
-        owes_answer.then(|| self.last_sent.after(pause))
+        needs_heartbeat.then(|| self.last_sent.after(interval))
     }
 }
--- a/laurelstile-core/tests/leased_run_times.rs
+++ b/laurelstile-core/tests/leased_run_times.rs
@@ -13,7 +13,7 @@
 fn seen(pairs: impl Iterator<Item = (u64, u64)>) -> RunTimes {
     let mut run_times = RunTimes::default();
     for (guess, longest) in pairs {
-        run_times.note(QUEUE, Span::from_millis(guess), Span::from_millis(longest));
+        run_times.record(QUEUE, Span::from_millis(guess), Span::from_millis(longest));
     }
     run_times
 }
--- a/laurelstile-core/tests/leased_shares.rs
+++ b/laurelstile-core/tests/leased_shares.rs
@@ -2,19 +2,19 @@
 
 mod leased_support;
 
-use laurelstile_core::leased::gateway::shares::{Shares, SizeGroup};
+use laurelstile_core::leased::gateway::shares::{OnTimeRates, SizeGroup};
 use leased_support::at;
 
 const QUEUE: &str = "checks";
 
 #[test]
 fn sizes_are_told_apart_by_the_jobs_that_come() {
-    let mut shares = Shares::default();
+    let mut on_time_rates = OnTimeRates::default();
     let mut counts = [0_u32; 3];
     for number in 0..4_000_u64 {
         // All values from 1 to 1,000 in an order without pattern.
         let work = 1 + (number * 617) % 1_000;
-        let group = shares.group_of(QUEUE, work);
+        let group = on_time_rates.group_of(QUEUE, work);
         if number >= 1_000 {
             counts[group as usize] += 1;
         }
@@ -27,35 +27,38 @@
 
 #[test]
 fn a_group_that_was_refused_ranks_before_one_that_was_served() {
-    let mut shares = Shares::default();
+    let mut on_time_rates = OnTimeRates::default();
     for number in 0..20 {
-        shares.note(at(number), QUEUE, SizeGroup::Largest, number % 2 == 0);
-        shares.note(at(number), QUEUE, SizeGroup::Ordinary, true);
+        on_time_rates.record(at(number), QUEUE, SizeGroup::Largest, number % 2 == 0);
+        on_time_rates.record(at(number), QUEUE, SizeGroup::Ordinary, true);
     }
     let now = at(20);
-    let largest = shares.permille(now, QUEUE, SizeGroup::Largest);
-    let ordinary = shares.permille(now, QUEUE, SizeGroup::Ordinary);
+    let largest = on_time_rates.permille(now, QUEUE, SizeGroup::Largest);
+    let ordinary = on_time_rates.permille(now, QUEUE, SizeGroup::Ordinary);
     assert!(largest < 700 && ordinary > 900, "{largest} {ordinary}");
 }
 
 #[test]
 fn a_group_without_answers_has_the_share_of_its_queue() {
-    let mut shares = Shares::default();
+    let mut on_time_rates = OnTimeRates::default();
     for number in 0..40 {
-        shares.note(at(number), QUEUE, SizeGroup::Ordinary, number % 2 == 0);
+        on_time_rates.record(at(number), QUEUE, SizeGroup::Ordinary, number % 2 == 0);
     }
-    let share = shares.permille(at(40), QUEUE, SizeGroup::Largest);
+    let share = on_time_rates.permille(at(40), QUEUE, SizeGroup::Largest);
     assert!((500..=600).contains(&share), "{share}");
-    assert_eq!(shares.permille(at(40), "others", SizeGroup::Largest), 1_000);
+    assert_eq!(
+        on_time_rates.permille(at(40), "others", SizeGroup::Largest),
+        1_000
+    );
 }
 
 #[test]
 fn refusals_are_forgotten_with_time() {
-    let mut shares = Shares::default();
+    let mut on_time_rates = OnTimeRates::default();
     for number in 0..20 {
-        shares.note(at(number), QUEUE, SizeGroup::Ordinary, false);
+        on_time_rates.record(at(number), QUEUE, SizeGroup::Ordinary, false);
     }
-    let soon = shares.permille(at(100), QUEUE, SizeGroup::Ordinary);
-    let later = shares.permille(at(30_000), QUEUE, SizeGroup::Ordinary);
+    let soon = on_time_rates.permille(at(100), QUEUE, SizeGroup::Ordinary);
+    let later = on_time_rates.permille(at(30_000), QUEUE, SizeGroup::Ordinary);
     assert!(soon < 200 && later > 950, "{soon} {later}");
 }
--- a/laurelstile-core/tests/leased_start_window.rs
+++ b/laurelstile-core/tests/leased_start_window.rs
@@ -1,4 +1,4 @@
-//! The bound on starts under way: it follows the delay of what comes back, and what waits
+//! The window_bytes on starts under way: it follows the delay of what comes back, and what waits
 //! for it is told the truth.
 
 mod leased_support;
@@ -41,7 +41,7 @@
             }
             reports.push((link_free.after(Span::from_millis(8)), agent));
         }
-        window.note_full();
+        window.record_blocked();
     }
     longest
 }
@@ -59,7 +59,11 @@
     let mut window = StartWindow::default();
     longest_wait(&mut window, 250, 5_000);
     // What it carries in 15 ms at least.
-    assert!(window.bound() >= 250 * 15, "{}", window.bound());
+    assert!(
+        window.window_bytes() >= 250 * 15,
+        "{}",
+        window.window_bytes()
+    );
 }
 
 #[test]
@@ -67,14 +71,18 @@
     let mut window = StartWindow::default();
     // 200 Mbit/s: the window grows to what a round trip carries.
     longest_wait(&mut window, 25_000, 1_000);
-    assert!(window.bound() > 25_000 * 8, "{}", window.bound());
+    assert!(
+        window.window_bytes() > 25_000 * 8,
+        "{}",
+        window.window_bytes()
+    );
 }
 
 /// A few agents that stand still, or are cut off, do not hold the others up.
 #[test]
 fn one_slow_agent_does_not_lower_the_bound() {
     let mut window = StartWindow::default();
-    let before = window.bound();
+    let before = window.window_bytes();
     for number in 1..200 {
         let now = at(number * 10);
         let slow = number % 7 == 0;
@@ -83,7 +91,7 @@
         let delay = if slow { 250 } else { 8 };
         window.on_report(at(number * 10 + delay), agent, number);
     }
-    assert_eq!(window.bound(), before);
+    assert_eq!(window.window_bytes(), before);
 }
 
 #[test]
@@ -112,7 +120,7 @@
             return started;
         }
     }
-    unreachable!("the window has no bound")
+    unreachable!("the window is unlimited")
 }
 
 /// Nothing of a job that waits for the way out was sent, so it can be refused in time.
@@ -120,10 +128,7 @@
 fn a_job_that_waits_for_the_way_out_is_refused_as_not_run() {
     let mut rig = GatewayRig::new();
     let started = fill(&mut rig);
-    assert!(
-        started >= 10,
-        "the first bound is no hindrance to some jobs"
-    );
+    assert!(started >= 10, "the initial window admits some jobs");
     rig.tick(at(95));
     let refused = Answer::Refused {
         reason: Refusal::Overloaded,
