--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -21,20 +21,20 @@
 #[test]
 fn clocks_need_no_common_zero() {
     let mut path = PathDelay::default();
-    assert_eq!(path.note(agent_clock(at(8)), at(10)), Span::default());
-    let delay = path.note(agent_clock(at(98)), at(400));
+    assert_eq!(path.record(agent_clock(at(8)), at(10)), Span::default());
+    let delay = path.record(agent_clock(at(98)), at(400));
     assert_eq!(delay, Span::from_millis(300));
-    assert_eq!(path.note(agent_clock(at(499)), at(500)), Span::default());
+    assert_eq!(path.record(agent_clock(at(499)), at(500)), Span::default());
 }
 
 #[test]
 fn an_old_best_time_is_forgotten() {
     let mut path = PathDelay::default();
-    path.note(agent_clock(at(0)), at(0));
+    path.record(agent_clock(at(0)), at(0));
     let mut delay = Span::default();
     for second in 1..100 {
         let now = at(second * 1_000);
-        delay = path.note(agent_clock(at(second * 1_000 - 20)), now);
+        delay = path.record(agent_clock(at(second * 1_000 - 20)), now);
     }
     assert_eq!(delay, Span::default(), "the way is 20 ms longer now");
 }
@@ -44,7 +44,7 @@
     for number in 0..8 {
         let now = from + number * 10;
         let sent = agent_clock(at(now - delay(number)));
-        way_in.note(at(now), Incarnation(number % 4), sent);
+        way_in.record(at(now), Incarnation(number % 4), sent);
     }
 }
 
