--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks under which workers crash: what agents tell, and what gateways make of it.
+//! Tests for tasks that crash workers: the reports by agents and the reaction of gateways.
 
 mod leased_support;
 
@@ -15,7 +15,7 @@
 const EARLY: bool = true;
 const LATE: bool = false;
 
-/// A crash of a life under tasks of job 1, by their indices.
+/// A crash of worker incarnation `life` while it ran tasks of job 1, given by index.
 fn crash(life: &str, is_early: bool, runs: u32, indices: &[u32]) -> WorkerCrash {
     let tasks = indices.iter().map(|index| CrashedTask {
         task: task(1, *index),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A gateway with `workers` empty workers, on sessions from 1 on.
+/// A gateway with `workers` idle workers, on sessions numbered from 1.
 fn gateway(workers: u64) -> GatewayRig {
     let mut rig = GatewayRig::new();
     for session in 1..=workers {
@@ -37,13 +37,13 @@
     rig
 }
 
-fn tell(rig: &mut GatewayRig, now: Timestamp, session: SessionId, crash: &WorkerCrash) {
+fn report_crash(rig: &mut GatewayRig, now: Timestamp, session: SessionId, crash: &WorkerCrash) {
     let body = FromAgentBody::Crashes(vec![crash.clone()]);
     rig.report(now, session.0, 0, cpu(0), body);
 }
 
-/// The worker of a batch crashes: its agent tells so, and that its tasks are lost.
-fn crash_under(
+/// Crashes the worker of a batch: its agent reports the crash, and the batch's tasks as lost.
+fn crash_worker_of(
     rig: &mut GatewayRig,
     now: Timestamp,
     batch: &(SessionId, StartBatch),
@@ -52,12 +52,12 @@
 ) {
     let indices: Vec<u32> = batch.1.tasks.iter().map(|(index, _)| *index).collect();
     let life = format!("life-{}-{}", batch.0.0, now.0);
-    tell(rig, now, batch.0, &crash(&life, is_early, runs, &indices));
+    report_crash(rig, now, batch.0, &crash(&life, is_early, runs, &indices));
     rig.end(now, batch, EndKind::Lost, cpu(0));
 }
 
-/// The worker of a batch of one task crashes late in its run, with others beside it.
-fn crash_beside_others(rig: &mut GatewayRig, now: Timestamp, batch: &(SessionId, StartBatch)) {
+/// Crashes the worker of a one-task batch late in its run, while other tasks run there.
+fn crash_with_other_runs(rig: &mut GatewayRig, now: Timestamp, batch: &(SessionId, StartBatch)) {
     let crashed = CrashedTask {
         task: task(batch.1.job.0, batch.1.tasks[0].0),
         is_early: LATE,
@@ -67,50 +67,50 @@
         runs: 9,
         tasks: vec![crashed],
     };
-    tell(rig, now, batch.0, &crash);
+    report_crash(rig, now, batch.0, &crash);
     rig.end(now, batch, EndKind::Lost, cpu(0));
 }
 
-/// Each worker of the rig has all its room again.
-fn free(rig: &mut GatewayRig, now: Timestamp, workers: u64) {
+/// Reports all workers as idle.
+fn report_idle(rig: &mut GatewayRig, now: Timestamp, workers: u64) {
     for session in 1..=workers {
         rig.report(now, session, 99, cpu(8_000), FromAgentBody::Heartbeat);
     }
 }
 
 #[test]
-fn the_victims_of_a_crash_go_to_different_workers() {
+fn tasks_interrupted_by_a_crash_are_placed_on_different_workers() {
     let mut rig = gateway(4);
     rig.submit(at(10), 1, job(1, 3, 100));
     let batch = rig.next_start();
     assert_eq!(batch.1.tasks.len(), 3);
-    crash_under(&mut rig, at(60), &batch, LATE, 3);
+    crash_worker_of(&mut rig, at(60), &batch, LATE, 3);
     let mut workers: Vec<SessionId> = (0..3).map(|_| rig.next_start().0).collect();
     workers.sort_unstable();
     workers.dedup();
-    assert_eq!(workers.len(), 3, "each by itself");
+    assert_eq!(workers.len(), 3, "each task on its own worker");
     assert!(!workers.contains(&batch.0));
 }
 
 #[test]
-fn a_task_that_kills_its_next_worker_alone_fails_its_job() {
+fn a_task_that_crashes_its_next_worker_exclusively_fails_its_job() {
     let mut rig = gateway(3);
     rig.submit(at(10), 1, job(1, 1, 100));
     let first = rig.next_start();
     assert!(!first.1.is_alone);
-    crash_under(&mut rig, at(20), &first, EARLY, 9);
+    crash_worker_of(&mut rig, at(20), &first, EARLY, 9);
     let second = rig.next_start();
-    assert!(second.1.is_alone, "an idle worker is there");
-    crash_under(&mut rig, at(40), &second, EARLY, 1);
+    assert!(second.1.is_alone, "an idle worker is available");
+    crash_worker_of(&mut rig, at(40), &second, EARLY, 1);
     assert_eq!(rig.last_answer(), Some(Answer::Failed));
     assert!(rig.starts.is_empty());
 }
 
-/// Beside others, two crashes prove nothing; three early ones do, and five in any case.
+/// With other tasks on the worker, the limit is three early crashes or five crashes in all.
 #[rstest]
 #[case::early(EARLY, 3)]
 #[case::late(LATE, 5)]
-fn a_task_is_given_up_after_some_crashes_whatever_ran_beside(
+fn a_task_fails_after_a_limit_of_crashes_beside_other_tasks(
     #[case] is_early: bool,
     #[case] most: u64,
 ) {
@@ -120,49 +120,55 @@
         assert!(rig.answers.is_empty(), "given up after {}", crashes - 1);
         let batch = rig.next_start();
         assert_eq!(batch.1.is_alone && crashes <= 2, is_early && crashes == 2);
-        crash_under(&mut rig, at(100 * crashes), &batch, is_early, 9);
+        crash_worker_of(&mut rig, at(100 * crashes), &batch, is_early, 9);
     }
     assert_eq!(rig.last_answer(), Some(Answer::Failed));
     assert!(rig.starts.is_empty());
 }
 
 #[test]
-fn a_suspect_runs_alone_one_at_a_time() {
+fn suspects_run_exclusively_one_at_a_time() {
     let mut rig = gateway(6);
     rig.submit(at(10), 1, job(1, 2, 100));
     for millis in [50, 90] {
         let batches: Vec<_> = std::mem::take(&mut rig.starts).into();
         for batch in batches {
-            crash_under(&mut rig, at(millis), &batch, LATE, 9);
+            crash_worker_of(&mut rig, at(millis), &batch, LATE, 9);
         }
     }
     let alone = rig.next_start();
     assert!(alone.1.is_alone);
     assert_eq!(alone.1.tasks.len(), 1);
-    assert!(rig.starts.is_empty(), "the other one waits for its turn");
+    assert!(
+        rig.starts.is_empty(),
+        "the other one waits until the first has ended"
+    );
     rig.end(at(200), &alone, EndKind::Done, cpu(8_000));
     assert!(rig.next_start().1.is_alone);
 }
 
 #[test]
-fn a_crash_that_is_told_again_counts_once() {
+fn a_crash_that_is_reported_repeatedly_counts_once() {
     let mut rig = gateway(4);
     rig.submit(at(10), 1, job(1, 1, 100));
     let batch = rig.next_start();
-    let told = crash("life-1", LATE, 9, &[0]);
+    let reported = crash("life-1", LATE, 9, &[0]);
     for millis in [30, 31, 32, 33, 34] {
-        tell(&mut rig, at(millis), batch.0, &told);
+        report_crash(&mut rig, at(millis), batch.0, &reported);
     }
     rig.end(at(40), &batch, EndKind::Lost, cpu(0));
-    assert!(!rig.next_start().1.is_alone, "one crash is no suspicion");
+    assert!(
+        !rig.next_start().1.is_alone,
+        "a single crash does not make a suspect"
+    );
 }
 
-/// A caller whose gateway was lost hands in again, at one that has not placed the job.
+/// Guards against losing a task's crashes when its job is resubmitted at another gateway.
 #[rstest]
 #[case::alone(&[EARLY, EARLY], 9, None, true)]
 #[case::failed(&[EARLY, EARLY, EARLY], 9, Some(Answer::Failed), false)]
 #[case::failed_alone(&[EARLY, EARLY], 1, Some(Answer::Failed), false)]
-fn crashes_that_peers_tell_of_count_for_a_job_that_comes_later(
+fn crashes_reported_by_peers_count_for_a_job_submitted_later(
     #[case] crashes: &[bool],
     #[case] runs: u32,
     #[case] answer: Option<Answer>,
@@ -171,11 +177,11 @@
     let mut rig = gateway(4);
     let session = SessionId(50);
     rig.open_peer(at(1), session);
-    let told = crashes
+    let reported = crashes
         .iter()
         .zip(1..)
         .map(|(is_early, number)| crash(&format!("life-{number}"), *is_early, runs, &[0]));
-    let message = ToPeer::Crashes(told.collect());
+    let message = ToPeer::Crashes(reported.collect());
     rig.hear_peer(at(2), session, message);
     rig.submit(at(10), 1, job(1, 1, 100));
     assert_eq!(rig.last_answer(), answer);
@@ -186,19 +192,19 @@
 }
 
 #[test]
-fn what_touches_own_jobs_is_passed_on_to_peers() {
+fn crashes_that_affect_own_jobs_are_sent_to_peers() {
     let mut rig = gateway(2);
     let session = SessionId(50);
     rig.open_peer(at(1), session);
     rig.submit(at(10), 1, job(1, 1, 100));
     let batch = rig.next_start();
-    let mut told = crash("life-1", EARLY, 2, &[0]);
-    told.tasks.push(CrashedTask {
+    let mut reported = crash("life-1", EARLY, 2, &[0]);
+    reported.tasks.push(CrashedTask {
         task: task(2, 0),
         is_early: EARLY,
     });
     rig.to_peers.clear();
-    tell(&mut rig, at(20), batch.0, &told);
+    report_crash(&mut rig, at(20), batch.0, &reported);
     let passed: Vec<&WorkerCrash> = rig
         .to_peers
         .iter()
@@ -211,7 +217,7 @@
 }
 
 #[test]
-fn more_suspects_than_can_run_alone_soon_are_given_up_at_once() {
+fn suspects_beyond_the_limit_of_waiting_ones_are_given_up_at_once() {
     let mut rig = gateway(12);
     for id in 1..=6 {
         rig.submit(at(10), id, job(id, 1, 100));
@@ -219,8 +225,8 @@
     for millis in [50, 90] {
         let batches: Vec<_> = std::mem::take(&mut rig.starts).into();
         for batch in batches {
-            crash_beside_others(&mut rig, at(millis), &batch);
-            free(&mut rig, at(millis), 12);
+            crash_with_other_runs(&mut rig, at(millis), &batch);
+            report_idle(&mut rig, at(millis), 12);
         }
     }
     let given_up = rig
@@ -230,8 +236,8 @@
     assert_eq!(given_up.count(), 2, "{:?}", rig.answers);
 }
 
-/// What a session was told of crashes, and whether that came before any end.
-fn crashes_told(rig: &AgentRig, session: SessionId) -> (Vec<WorkerCrash>, bool) {
+/// The crashes reported on a session, and whether they came before any end.
+fn reported_crashes(rig: &AgentRig, session: SessionId) -> (Vec<WorkerCrash>, bool) {
     let bodies = rig.sent.iter().filter(|(to, _)| *to == session);
     let bodies: Vec<&FromAgentBody> = bodies.map(|(_, message)| &message.body).collect();
     let position = |wanted: fn(&FromAgentBody) -> bool| bodies.iter().position(|body| wanted(body));
@@ -245,8 +251,8 @@
     (crashes, first_crash.is_some() && first_crash < first_end)
 }
 
-/// An agent whose worker has run task 1/0 since 10 ms, and 1/1 since `second`.
-fn running(second: u64) -> AgentRig {
+/// An agent whose worker runs task 1/0 since 10 ms and task 1/1 since `second`.
+fn agent_with_two_runs(second: u64) -> AgentRig {
     let mut rig = AgentRig::in_control(cpu(4_000));
     for (millis, index) in [(10, 0), (second, 1)] {
         let mut batch = rig.batch(1, 1, 50);
@@ -261,8 +267,8 @@
 }
 
 #[test]
-fn an_agent_tells_of_a_crash_before_the_ends_and_which_run_was_young() {
-    let mut rig = running(60);
+fn an_agent_reports_a_crash_before_the_ends_and_marks_early_runs() {
+    let mut rig = agent_with_two_runs(60);
     rig.end_life(at(70));
     let crash = WorkerCrash {
         life: "life-1".into(),
@@ -278,7 +284,7 @@
             },
         ],
     };
-    assert_eq!(crashes_told(&rig, SESSION), (vec![crash.clone()], true));
+    assert_eq!(reported_crashes(&rig, SESSION), (vec![crash.clone()], true));
     rig.open(at(200), SessionId(71), GATEWAY);
     rig.open(
         at(200),
@@ -286,59 +292,60 @@
         laurelstile_types::id::Incarnation(8),
     );
     for session in [71, 80] {
-        let told = crashes_told(&rig, SessionId(session)).0;
-        assert_eq!(told, std::slice::from_ref(&crash));
+        let reported = reported_crashes(&rig, SessionId(session)).0;
+        assert_eq!(reported, std::slice::from_ref(&crash));
     }
 }
 
 #[test]
-fn a_worker_that_has_said_that_it_leaves_has_not_crashed() {
-    let mut rig = running(60);
+fn a_worker_that_drains_or_deregisters_has_not_crashed() {
+    let mut rig = agent_with_two_runs(60);
     rig.register(at(65), "life-1", cpu(4_000), true);
     rig.end_life(at(70));
-    assert!(crashes_told(&rig, SESSION).0.is_empty());
-    let mut rig = running(60);
+    assert!(reported_crashes(&rig, SESSION).0.is_empty());
+    let mut rig = agent_with_two_runs(60);
     rig.event(
         at(70),
         AgentEvent::Deregistration {
             id: "life-1".into(),
         },
     );
-    assert!(crashes_told(&rig, SESSION).0.is_empty());
+    assert!(reported_crashes(&rig, SESSION).0.is_empty());
 }
 
-/// A cut or a frozen machine is no crash; that another life has come since proves one.
+/// Silence alone may be a network partition or a suspended machine; only a new incarnation
+/// proves a crash.
 #[rstest]
 #[case::cut(false)]
 #[case::crashed(true)]
-fn a_silent_worker_has_crashed_once_another_life_shows(#[case] is_replaced: bool) {
-    let mut rig = running(60);
+fn a_silent_worker_has_crashed_once_a_new_incarnation_registers(#[case] is_replaced: bool) {
+    let mut rig = agent_with_two_runs(60);
     for millis in [100, 150, 200] {
         rig.lose_watch(at(millis));
     }
     rig.tick(at(1_200));
-    assert_eq!(rig.ends().len(), 2, "lapsed");
-    assert!(crashes_told(&rig, SESSION).0.is_empty());
+    assert_eq!(rig.ends().len(), 2, "the runs have expired");
+    assert!(reported_crashes(&rig, SESSION).0.is_empty());
     if is_replaced {
         rig.register(at(1_300), "life-2", cpu(4_000), false);
         rig.end_life(at(1_301));
-        let told = crashes_told(&rig, SESSION).0;
-        assert_eq!(told.len(), 1);
-        assert_eq!(told[0].tasks.len(), 2);
-        assert!(told[0].tasks.iter().all(|crashed| !crashed.is_early));
+        let reported = reported_crashes(&rig, SESSION).0;
+        assert_eq!(reported.len(), 1);
+        assert_eq!(reported[0].tasks.len(), 2);
+        assert!(reported[0].tasks.iter().all(|crashed| !crashed.is_early));
     } else {
         rig.answer_watch(at(1_300), WorkerLists::default());
         rig.end_life(at(1_400));
         assert!(
-            crashes_told(&rig, SESSION).0.is_empty(),
-            "nothing ran there"
+            reported_crashes(&rig, SESSION).0.is_empty(),
+            "nothing ran on the worker"
         );
     }
 }
 
 #[test]
-fn a_start_that_comes_to_a_dead_worker_has_no_part_in_its_crash() {
-    let mut rig = running(60);
+fn a_start_refused_by_a_dead_worker_does_not_count_in_its_crash() {
+    let mut rig = agent_with_two_runs(60);
     let batch = rig.batch(2, 1, 50);
     rig.message(at(70), batch);
     rig.take_starts();
@@ -348,14 +355,19 @@
         answer: Err(OrderFailure::LifeOver),
     };
     rig.event(at(71), refused);
-    let told = crashes_told(&rig, SESSION).0;
-    assert_eq!(told[0].tasks.len(), 2);
-    assert!(told[0].tasks.iter().all(|crashed| crashed.task.job.0 == 1));
+    let reported = reported_crashes(&rig, SESSION).0;
+    assert_eq!(reported[0].tasks.len(), 2);
+    assert!(
+        reported[0]
+            .tasks
+            .iter()
+            .all(|crashed| crashed.task.job.0 == 1)
+    );
 }
 
 #[test]
-fn a_run_alone_waits_until_nothing_runs_and_nothing_starts_beside_it() {
-    let mut rig = running(60);
+fn an_exclusive_run_waits_for_other_runs_and_blocks_new_ones() {
+    let mut rig = agent_with_two_runs(60);
     let mut alone = rig.batch(3, 1, 1_000);
     if let ToAgentBody::Start(batch) = &mut alone {
         batch.is_alone = true;
@@ -380,9 +392,9 @@
     assert_eq!(rig.take_starts(), [run(3, 0)]);
 }
 
-/// A gateway with two queues of one service and eight workers, of which two have crashed
-/// under a suspect each of queue `checks`.
-fn harmed() -> GatewayRig {
+/// A gateway with eight workers and two queues of one service, after workers have crashed
+/// under two suspects of queue `checks`.
+fn gateway_with_crashed_workers() -> GatewayRig {
     let mut rig = gateway(8);
     let mut other = leased_support::queue();
     other.name = "others".into();
@@ -395,14 +407,14 @@
     for millis in [50, 90] {
         let batches: Vec<_> = std::mem::take(&mut rig.starts).into();
         for batch in batches {
-            crash_beside_others(&mut rig, at(millis), &batch);
+            crash_with_other_runs(&mut rig, at(millis), &batch);
         }
     }
     rig.starts.clear();
     rig
 }
 
-/// The workers that jobs of a queue are placed on, one job after the other.
+/// The workers on which consecutive jobs of a queue are placed.
 fn workers_used(
     rig: &mut GatewayRig,
     now: Timestamp,
@@ -426,8 +438,8 @@
 }
 
 #[test]
-fn a_queue_whose_tasks_keep_a_quarter_of_the_workers_away_is_kept_to_a_quarter() {
-    let mut rig = harmed();
+fn a_queue_that_crashes_a_quarter_of_the_workers_is_restricted_to_a_quarter() {
+    let mut rig = gateway_with_crashed_workers();
     let contained = workers_used(&mut rig, at(95), "checks", 100..140);
     let others = workers_used(&mut rig, at(95), "others", 200..240);
     assert!(contained.len() <= 2, "{contained:?}");
@@ -436,8 +448,8 @@
 }
 
 #[test]
-fn a_contained_queue_whose_workers_are_away_is_refused_at_once_and_let_go_later() {
-    let mut rig = harmed();
+fn a_contained_queue_without_usable_workers_is_refused_until_containment_ends() {
+    let mut rig = gateway_with_crashed_workers();
     for session in 1..=8 {
         let session = SessionId(session);
         rig.event(at(94), GatewayEvent::AgentClosed { session });
@@ -456,11 +468,15 @@
     let later = at(4_200);
     rig.join(later, 9, "agent-9", cpu(8_000));
     let used = workers_used(&mut rig, later, "checks", 101..102);
-    assert_eq!(used, [9], "let go once no more suspects come");
+    assert_eq!(
+        used,
+        [9],
+        "containment ends when no more suspects are reported"
+    );
 }
 
 #[test]
-fn a_crash_is_forgotten_after_a_minute() {
+fn a_crash_expires_after_a_minute() {
     let mut log = CrashLog::default();
     log.note(at(0), &crash("life-1", LATE, 9, &[0, 1]));
     log.note(at(30_000), &crash("life-2", LATE, 9, &[0]));
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: who hears of them, and that nothing starts there.
+//! Tests for evacuated zones: their distribution, and that no task starts there.
 
 mod leased_support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_gateway_places_nothing_in_an_evacuated_zone_until_it_is_taken_back() {
+fn a_gateway_places_nothing_in_an_evacuated_zone_until_it_is_restored() {
     let mut rig = gateway_of_two_zones();
     let begun = GatewayEvent::Evacuations(evacuations(5, &["here"]));
     rig.event(at(1), begun);
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn agents_and_peers_are_told_at_once_and_new_sessions_first_of_all() {
+fn evacuations_are_sent_at_once_and_first_on_new_sessions() {
     let mut rig = gateway_of_two_zones();
     let peer = SessionId(9);
     rig.open_peer(at(0), peer);
     let known = evacuations(5, &["here"]);
     rig.event(at(1), GatewayEvent::Evacuations(known.clone()));
-    let told: Vec<SessionId> = rig
+    let sent: Vec<SessionId> = rig
         .evacuations
         .iter()
         .map(|(session, _)| *session)
         .collect();
-    assert_eq!(told, [SessionId(1), SessionId(2)]);
+    assert_eq!(sent, [SessionId(1), SessionId(2)]);
     let is_news = |message: &ToPeer| matches!(message, ToPeer::Evacuations(news) if *news == known);
     assert!(
         rig.to_peers
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_a_peer_knows_counts_and_what_comes_late_does_not() {
+fn evacuations_from_peers_apply_and_older_revisions_do_not() {
     let mut rig = gateway_of_two_zones();
     let session = SessionId(9);
     rig.open_peer(at(0), session);
@@ -69,21 +69,21 @@
     assert_eq!(rig.next_start().0, SessionId(2));
 }
 
-/// A zone was taken back and evacuated again while this gateway did not read. Found by the
-/// emulator: agents that others had told of the first knew of the second from nobody.
+/// Guards against missed changes: a zone may have been restored and evacuated again between
+/// two reads, and agents may have learned only of the first change.
 #[test]
-fn a_reading_is_told_also_if_it_says_what_was_known() {
+fn evacuations_read_from_the_store_are_sent_even_if_unchanged() {
     let mut rig = gateway_of_two_zones();
     rig.event(at(1), GatewayEvent::Evacuations(evacuations(5, &["here"])));
     rig.evacuations.clear();
     let again = evacuations(9, &["here"]);
     rig.event(at(2), GatewayEvent::Evacuations(again.clone()));
-    let told = [SessionId(1), SessionId(2)].map(|session| (session, again.clone()));
-    assert_eq!(rig.evacuations, told);
+    let sent = [SessionId(1), SessionId(2)].map(|session| (session, again.clone()));
+    assert_eq!(rig.evacuations, sent);
 }
 
 #[test]
-fn what_a_peer_confirms_is_not_passed_on() {
+fn unchanged_evacuations_from_a_peer_are_not_forwarded() {
     let mut rig = gateway_of_two_zones();
     let session = SessionId(9);
     rig.open_peer(at(0), session);
@@ -99,7 +99,7 @@
     let mut rig = GatewayRig::new();
     rig.join_from(at(0), 1, "agent-1", "parcels", "here", cpu(500));
     rig.submit(at(1), 1, job(1, 1, 100));
-    assert!(rig.answers.is_empty(), "it waits for room");
+    assert!(rig.answers.is_empty(), "it waits for free resources");
     let begun = GatewayEvent::Evacuations(evacuations(5, &["here"]));
     rig.event(at(2), begun);
     rig.submit(at(3), 2, job(2, 1, 100));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_configuration_changes_nothing_about_evacuated_zones() {
+fn a_configuration_does_not_change_evacuated_zones() {
     let mut rig = gateway_of_two_zones();
     rig.event(at(1), GatewayEvent::Evacuations(evacuations(5, &["here"])));
     rig.event(at(2), GatewayEvent::Configuration(configuration(8)));
@@ -117,13 +117,14 @@
     assert_eq!(rig.next_start().0, SessionId(2));
 }
 
-/// The gateway that places may not have heard of it: cut off from the store, say.
+/// The gateway that sends a start may not know of the evacuation, for example while it cannot
+/// reach the store.
 #[test]
-fn an_agent_refuses_starts_of_every_gateway_while_any_has_told_it() {
+fn an_agent_in_an_evacuated_zone_refuses_starts_of_every_gateway() {
     let mut rig = AgentRig::in_control(cpu(4_000));
     rig.open(at(1), OTHER_SESSION, Incarnation(8));
-    let told = ToAgentBody::Evacuations(evacuations(5, &["there", "here"]));
-    rig.message_from(at(2), OTHER_SESSION, told);
+    let sent = ToAgentBody::Evacuations(evacuations(5, &["there", "here"]));
+    rig.message_from(at(2), OTHER_SESSION, sent);
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     assert!(rig.take_starts().is_empty());
@@ -133,7 +134,7 @@
 
     let late = ToAgentBody::Evacuations(evacuations(4, &[]));
     rig.message(at(20), late);
-    assert!(!rig.is_available(), "older news change nothing");
+    assert!(!rig.is_available(), "older revisions are ignored");
     let ended = ToAgentBody::Evacuations(evacuations(6, &["there"]));
     rig.message(at(30), ended);
     let batch = rig.batch(2, 1, 50);
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn an_evacuation_ends_what_waits_for_room_and_leaves_what_runs() {
+fn an_evacuation_refuses_queued_starts_and_keeps_running_tasks() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
@@ -150,8 +151,8 @@
     rig.answer_start(at(11), started[0], None);
     let batch = rig.batch(2, 1, 500);
     rig.message(at(12), batch);
-    let told = ToAgentBody::Evacuations(evacuations(5, &["here"]));
-    rig.message(at(13), told);
+    let sent = ToAgentBody::Evacuations(evacuations(5, &["here"]));
+    rig.message(at(13), sent);
     let refused = EndKind::NotStarted(NotStartedReason::Unavailable);
     assert_eq!(rig.ends(), [(task(2, 0), refused)]);
     assert!(rig.take_stops().is_empty());
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway to leased workers.
+//! Tests for the gateway for leased workers.
 
 mod leased_support;
 
@@ -17,20 +17,24 @@
 use rstest::rstest;
 
 #[test]
-fn a_job_is_placed_together_and_completed() {
+fn a_job_is_placed_on_one_worker_and_completed() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.join(at(0), 2, "agent-2", cpu(8_000));
     rig.submit(at(10), 1, job(1, 6, 100));
     let batch = rig.next_start();
-    assert_eq!(batch.1.tasks.len(), 6, "one worker has room for all");
+    assert_eq!(
+        batch.1.tasks.len(),
+        6,
+        "one worker has capacity for all tasks"
+    );
     assert_eq!(batch.0, SessionId(2));
     rig.end(at(110), &batch, EndKind::Done, cpu(8_000));
     assert_eq!(rig.answers, vec![(CallNumber(1), Answer::Completed)]);
 }
 
 #[test]
-fn the_time_of_a_job_is_told_by_stage() {
+fn the_time_of_a_job_is_reported_by_stage() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.submit(at(10), 1, job(1, 1, 200));
@@ -48,12 +52,13 @@
 }
 
 #[test]
-fn a_job_without_room_is_refused_as_not_run_in_time() {
+fn a_job_without_capacity_is_refused_in_time() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(500));
     rig.submit(at(10), 1, job(1, 1, 200));
     assert!(rig.starts.is_empty());
-    // The objective is 360 ms; a quarter of it, less the way, has passed.
+    // The objective is 360 ms. A quarter of it, less the caller's round trip of 8 ms, has
+    // passed.
     rig.tick(at(95));
     let Some(Answer::Refused {
         reason,
@@ -66,8 +71,8 @@
     assert!(retry_after.0 > 0);
 }
 
-/// Found after losses of power: agents were back some 100 ms after the gateway, and
-/// what came in between was refused.
+/// Guards against refusing jobs after a power failure, when agents reconnect later than the
+/// gateway.
 #[test]
 fn a_job_that_comes_before_the_workers_waits_for_them() {
     let mut rig = GatewayRig::new();
@@ -93,7 +98,7 @@
     rig.tick(at(95));
     assert!(no_worker(rig.last_answer()), "{:?}", rig.answers);
     rig.submit(at(1_020), 2, job(2, 1, 200));
-    assert_eq!(rig.answers.len(), 2, "the outage is long: refused at once");
+    assert_eq!(rig.answers.len(), 2, "refused at once during a long outage");
     assert!(no_worker(rig.last_answer()), "{:?}", rig.answers);
 }
 
@@ -124,16 +129,15 @@
     rig.submit(at(10), 1, job(1, 1, 100));
     for attempt in 1..=2 {
         let batch = rig.next_start();
-        assert_eq!(batch.1.tasks[0].1.0, attempt, "runs rise from 1");
+        assert_eq!(batch.1.tasks[0].1.0, attempt, "run numbers start at 1");
         rig.end(at(100 * u64::from(attempt)), &batch, how, cpu(4_000));
     }
     assert_eq!(rig.last_answer(), expected);
 }
 
-/// Found on a calm day of the grown sites: a task whose work was many times its
-/// estimate was stopped as too slow by one worker after the other, up to 22 times.
+/// Guards against one worker after another stopping a task whose estimate is too short.
 #[test]
-fn a_task_stopped_for_slowness_gets_the_time_that_it_was_seen_to_need() {
+fn a_task_stopped_as_too_slow_gets_its_projected_run_time() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 2, 100));
@@ -147,13 +151,13 @@
 }
 
 #[test]
-fn the_same_job_again_stays_one_job() {
+fn a_resubmission_joins_the_running_job() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
     rig.submit(at(20), 2, job(1, 1, 100));
     let batch = rig.next_start();
-    assert!(rig.starts.is_empty(), "not started twice");
+    assert!(rig.starts.is_empty(), "the job is started only once");
     rig.end(at(120), &batch, EndKind::Done, cpu(4_000));
     let expected = vec![
         (CallNumber(1), Answer::Completed),
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_has_its_tasks_stopped() {
+fn tasks_of_a_disconnected_caller_are_stopped() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 2, 100));
@@ -174,7 +178,7 @@
 }
 
 #[test]
-fn a_silent_agents_tasks_are_repeated_only_after_they_have_lapsed() {
+fn tasks_of_a_silent_agent_are_repeated_only_after_their_leases_expire() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -183,17 +187,17 @@
     let session = SessionId(1);
     rig.event(at(30), GatewayEvent::AgentClosed { session });
     let lapse = LAPSE_AFTER_SILENCE.as_millis();
-    // A gateway looks at the time every 500 ms at least.
+    // The gateway is woken at least every 500 ms; longer pauses count as a suspension.
     rig.tick(at(lapse / 2));
     rig.tick(at(lapse - 5));
-    assert!(rig.starts.is_empty(), "it may still run");
+    assert!(rig.starts.is_empty(), "the task may still be running");
     let body = FromAgentBody::Heartbeat;
     rig.report(at(lapse + 5), 2, 0, cpu(4_000), body);
     assert_eq!(rig.next_start().0, SessionId(2));
 }
 
 #[test]
-fn a_new_process_of_an_agent_proves_the_end_of_the_old_ones_runs() {
+fn a_new_agent_process_proves_the_end_of_its_predecessors_runs() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -205,7 +209,7 @@
 }
 
 #[test]
-fn starts_that_were_refused_elsewhere_are_placed_again() {
+fn refused_starts_are_placed_on_another_worker() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.submit(at(10), 1, job(1, 1, 200));
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn room_that_was_given_out_is_not_given_out_again() {
+fn resources_of_unreported_batches_are_not_assigned_twice() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(2_000));
     rig.submit(at(10), 1, job(1, 2, 200));
@@ -225,16 +229,16 @@
     assert_eq!(
         rig.starts.len(),
         1,
-        "no report has shown room for the second"
+        "no report has shown free resources for the second job"
     );
     let batch = rig.next_start();
     rig.end(at(60), &batch, EndKind::Done, cpu(2_000));
     assert_eq!(rig.next_start().1.job.0, 2);
 }
 
-/// The most urgent job used to hold up every other one while it found no room.
+/// Guards against head-of-line blocking between services.
 #[test]
-fn a_service_without_room_does_not_hold_up_another() {
+fn a_service_without_capacity_does_not_block_another() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(500));
     rig.join_for(at(0), 2, "agent-2", "crystals", cpu(4_000));
@@ -250,7 +254,7 @@
 }
 
 #[test]
-fn a_small_task_takes_the_room_that_a_larger_one_cannot_use() {
+fn a_small_task_uses_resources_too_small_for_a_larger_one() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_500));
     let mut large = job(1, 1, 100);
@@ -259,7 +263,10 @@
     rig.submit(at(11), 2, job(2, 2, 200));
     let batch = rig.next_start().1;
     assert_eq!((batch.job, batch.tasks.len()), (JobId(2), 1));
-    assert!(rig.starts.is_empty(), "the second task has no room");
+    assert!(
+        rig.starts.is_empty(),
+        "there is no capacity for the second task"
+    );
 }
 
 #[test]
@@ -274,7 +281,7 @@
 #[rstest]
 #[case::kept(Feature::Kept)]
 #[case::gang(Feature::Gang)]
-fn what_is_not_built_is_refused(#[case] feature: Feature) {
+fn unsupported_features_are_refused(#[case] feature: Feature) {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     let mut request = job(1, 1, 100);
@@ -287,16 +294,16 @@
     ));
 }
 
-/// Broke LOST on the bench (days/rolls.toml): jobs kept coming for as long as
-/// others were in flight, and the process was killed with them.
+/// Guards against a stopping gateway that admits new jobs for as long as others are in flight,
+/// and is killed with them.
 #[test]
-fn a_stopping_gateway_takes_no_job_after_the_overlap() {
+fn a_stopping_gateway_admits_no_job_after_the_overlap() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.event(at(1_000), GatewayEvent::Stop);
     rig.report(at(3_890), 1, 0, cpu(4_000), FromAgentBody::Heartbeat);
     rig.submit(at(3_900), 1, job(1, 1, 3_000));
-    assert!(rig.answers.is_empty(), "callers have not moved on yet");
+    assert!(rig.answers.is_empty(), "the overlap has not passed yet");
     rig.report(at(4_050), 1, 1, cpu(3_000), FromAgentBody::Heartbeat);
     rig.submit(at(4_100), 2, job(2, 1, 3_000));
     assert!(matches!(
@@ -306,11 +313,11 @@
             ..
         })
     ));
-    assert!(!rig.stopped, "a job is in flight");
+    assert!(!rig.stopped, "the first job has not ended");
 }
 
-/// Found in a recorded day: callers that had kept their connections were refused for
-/// seconds while all machines were stopped in turn.
+/// Guards against refusing callers on open connections although their jobs would complete
+/// before the limit.
 #[rstest]
 #[case::sure_to_be_done(4_100, 100, true)]
 #[case::not_sure_to_be_done(5_600, 100, false)]
@@ -332,10 +339,9 @@
     assert_eq!(rig.answers.is_empty(), is_taken, "{:?}", rig.answers);
 }
 
-/// The other half of the same day: what is left shortly before the process is
-/// killed gets its answer.
+/// Guards against calls that are still unanswered when the process is killed.
 #[test]
-fn a_stopping_gateway_answers_what_is_left_at_its_limit() {
+fn a_stopping_gateway_answers_remaining_calls_at_its_limit() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.event(at(1_000), GatewayEvent::Stop);
@@ -348,8 +354,7 @@
     assert!(rig.stopped);
 }
 
-/// Slow workers took the overflow of a day with many of them (incident of
-/// krystalon-wro), and their tasks came back.
+/// Guards against placing whole batches on workers that are far slower than the others.
 #[test]
 fn a_worker_far_slower_than_the_others_gets_one_task_while_idle() {
     let mut rig = GatewayRig::new();
@@ -374,12 +379,11 @@
     assert_eq!(rig.next_start().1.tasks.len(), 4);
 }
 
-/// Found after a loss of power: callers that had waited for most of their time were
-/// taken, run in part and given up, and fresh ones went without the room.
+/// Guards against starting jobs whose callers time out before they complete.
 #[rstest]
 #[case::too_little(99, true)]
 #[case::enough(150, false)]
-fn a_job_that_its_caller_cannot_wait_for_is_refused_at_once(
+fn a_job_with_too_little_time_left_is_refused_at_once(
     #[case] time_left_millis: u64,
     #[case] is_refused: bool,
 ) {
@@ -399,26 +403,26 @@
     assert_eq!(rig.starts.is_empty(), is_refused);
 }
 
-/// A caller may cancel at any gateway, and its job may still be on its way to another.
+/// A caller may cancel at any gateway, before or after its submission reaches another one.
 #[rstest]
 #[case::before(0)]
 #[case::after(20)]
-fn a_job_that_was_cancelled_at_a_peer_does_not_run(#[case] told: u64) {
+fn a_job_cancelled_at_a_peer_does_not_run(#[case] received_millis: u64) {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     let session = SessionId(50);
     rig.open_peer(at(0), session);
     let message = ToPeer::Cancelled(vec![JobId(1)]);
-    let told_at = |rig: &mut GatewayRig, millis| {
+    let receive_at = |rig: &mut GatewayRig, millis| {
         let message = message.clone();
         rig.hear_peer(at(millis), session, message);
     };
-    if told < 10 {
-        told_at(&mut rig, told);
+    if received_millis < 10 {
+        receive_at(&mut rig, received_millis);
     }
     rig.submit(at(10), 1, job(1, 1, 100));
-    if told > 10 {
-        told_at(&mut rig, told);
+    if received_millis > 10 {
+        receive_at(&mut rig, received_millis);
         assert_eq!(rig.stops, [task(1, 0)]);
     } else {
         assert!(rig.starts.is_empty());
@@ -426,9 +430,9 @@
     assert_eq!(rig.last_answer(), Some(Answer::Cancelled));
 }
 
-/// A gateway that has just started may be handed the job once more.
+/// The job may be resubmitted to a gateway that connects only later.
 #[test]
-fn a_cancel_of_an_unknown_job_is_passed_on_also_to_peers_that_come_later() {
+fn a_cancellation_of_an_unknown_job_reaches_present_and_later_peers() {
     let mut rig = GatewayRig::new();
     let peers = [50, 51].map(SessionId);
     rig.open_peer(at(0), peers[0]);
@@ -440,16 +444,17 @@
     assert_eq!(rig.last_answer(), Some(Answer::Unknown));
     rig.open_peer(at(3_000), peers[1]);
     for peer in peers {
-        let is_told = |(session, message): &(SessionId, ToPeer)| {
+        let is_sent = |(session, message): &(SessionId, ToPeer)| {
             *session == peer && matches!(message, ToPeer::Cancelled(jobs) if *jobs == [JobId(1)])
         };
-        assert!(rig.to_peers.iter().any(is_told));
+        assert!(rig.to_peers.iter().any(is_sent));
     }
 }
 
-/// A new agent knows its worker from a record; whether that is old, gateways know.
+/// A new agent process reads the worker's record from the store; only gateways know how old it
+/// is.
 #[test]
-fn an_agent_that_takes_the_place_of_another_is_told_how_long_that_was_silent() {
+fn a_new_agent_process_is_told_how_long_its_predecessor_was_silent() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.event(
@@ -463,9 +468,9 @@
     assert_eq!(rig.predecessors, [(SessionId(2), Span::from_millis(500))]);
 }
 
-/// It would stand still on one worker after the other.
+/// Guards against retrying a stalling task until the caller's deadline.
 #[test]
-fn a_task_that_stands_still_wherever_it_runs_is_given_up() {
+fn a_task_that_stalls_on_every_worker_is_given_up() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -480,9 +485,10 @@
     assert!(rig.starts.is_empty());
 }
 
-/// A worker may be suspected only because this very task fails there.
+/// Guards against retrying a failing task forever when its own failures make workers
+/// suspected.
 #[test]
-fn a_task_is_excused_by_suspected_workers_some_times_only() {
+fn failures_on_suspected_workers_are_tolerated_up_to_a_limit() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -1,4 +1,4 @@
-//! Room that agents offer to the gateways whose tasks wait for it.
+//! Tests for offers of free resources by agents to gateways with waiting tasks.
 
 mod leased_support;
 
@@ -15,7 +15,7 @@
 use leased_support::{AgentRig, GatewayRig, SESSION, at, cpu, job, lists, run};
 use rstest::rstest;
 
-/// Session of a gateway beside the one that the rig plays.
+/// Session of a second gateway.
 const OTHER: SessionId = SessionId(80);
 
 fn waiting(job: u64, count: u32, rank: u32) -> Announcement {
@@ -29,7 +29,7 @@
     }
 }
 
-/// An agent whose worker is full with a task of the first of two gateways.
+/// An agent with two gateways whose worker is fully occupied by a task of the first one.
 fn full_agent() -> AgentRig {
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.open(at(0), OTHER, Incarnation(8));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn freed_room_is_offered_to_the_best_rank_and_told_to_nobody_else() {
+fn freed_resources_are_offered_to_the_best_rank_only() {
     let mut rig = full_agent();
     rig.message(at(10), ToAgentBody::Announce(vec![waiting(2, 1, 900)]));
     rig.message_from(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_batch_that_answers_an_offer_gets_its_room() {
+fn a_batch_that_answers_an_offer_gets_the_offered_resources() {
     let mut rig = full_agent();
     rig.message_from(
         at(10),
@@ -78,7 +78,7 @@
 #[rstest]
 #[case::declined(true, 31)]
 #[case::not_answered(false, 41)]
-fn room_that_is_not_used_goes_to_the_next(#[case] is_declined: bool, #[case] millis: u64) {
+fn unused_offers_go_to_the_next_rank(#[case] is_declined: bool, #[case] millis: u64) {
     let mut rig = full_agent();
     rig.message(at(10), ToAgentBody::Announce(vec![waiting(2, 1, 900)]));
     rig.message_from(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_gateway_that_does_not_answer_is_offered_nothing_until_it_speaks_again() {
+fn a_gateway_that_does_not_answer_an_offer_gets_no_further_one() {
     let mut rig = full_agent();
     rig.message_from(
         at(10),
@@ -107,12 +107,16 @@
     end_run(&mut rig, at(30));
     rig.tick(at(41));
     rig.tick(at(60));
-    assert_eq!(rig.offers(OTHER).len(), 1, "one offer, and no second");
-    assert_eq!(rig.told_room(OTHER), Some(1_000), "the room is free again");
+    assert_eq!(rig.offers(OTHER).len(), 1, "only one offer is made");
+    assert_eq!(
+        rig.told_room(OTHER),
+        Some(1_000),
+        "the resources are reported as free again"
+    );
 }
 
 #[test]
-fn what_is_withdrawn_is_not_offered_room() {
+fn a_withdrawn_announcement_gets_no_offer() {
     let mut rig = full_agent();
     rig.message_from(
         at(10),
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn a_draining_worker_is_offered_to_nobody() {
+fn a_draining_worker_makes_no_offers() {
     let mut rig = full_agent();
     rig.message_from(
         at(10),
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn a_job_without_room_is_announced_and_withdrawn_once_it_is_placed() {
+fn a_job_without_capacity_is_announced_and_withdrawn_once_placed() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(0));
     rig.submit(at(10), 1, job(1, 1, 200));
@@ -168,23 +172,23 @@
 }
 
 #[test]
-fn an_offer_without_use_is_declined_at_once() {
+fn an_unused_offer_is_declined_at_once() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(0));
     offer(&mut rig, at(12), 4, cpu(1_000));
     assert_eq!(rig.declined, vec![4]);
 }
 
-/// A job of which a part runs earns nothing until the rest does.
+/// A partly started job yields no result until its other tasks run.
 #[test]
-fn a_job_that_has_begun_goes_before_all_others() {
+fn a_started_job_takes_precedence() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.submit(at(10), 1, job(1, 2, 200));
     assert_eq!(rig.next_start().1.tasks.len(), 1);
     let rank = rig.announced.last().map(|announced| announced.rank);
-    assert_eq!(rank, Some(0), "it was announced as begun");
-    // More urgent by its objective, and its like was served as well.
+    assert_eq!(rank, Some(0), "the job was announced as started");
+    // This job has an earlier latest start time and the same on-time rate.
     rig.submit(at(11), 2, job(2, 1, 20));
     offer(&mut rig, at(12), 1, cpu(1_000));
     assert_eq!(rig.next_start().1.job, JobId(1));
@@ -200,9 +204,9 @@
     assert!(rig.starts.is_empty());
 }
 
-/// Announcements go out while links are at their fullest.
+/// Guards against announcement traffic on links that are already congested.
 #[test]
-fn a_waiting_task_is_announced_to_one_agent_and_once() {
+fn a_waiting_task_is_announced_once_and_to_one_agent() {
     let mut rig = GatewayRig::new();
     for session in 1..=8 {
         rig.join(at(0), session, &format!("agent-{session}"), cpu(0));
@@ -216,6 +220,6 @@
         }
         rig.tick(at(millis));
     }
-    assert!(rig.answers.is_empty(), "it still waits");
+    assert!(rig.answers.is_empty(), "the job still waits");
     assert_eq!(rig.announced.len(), 3);
 }
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -1,15 +1,8 @@
-//! No task runs beside itself: an end is told only with its proof.
+//! Tests that no two runs of a task overlap.
 //!
-//! Seen: tasks at work on two workers at once, several at a time, in a run of real processes
-//! with workers that are emptied and taken away and tasks that take up to seconds.
-//! How it came about: a worker that left deregistered and ran on until its process ended; its
-//! agent told gateways in the same instant that its runs were lost, and they started them
-//! elsewhere 1 ms later.
-//! Cause: an end that is believed without a proof. The same cause stood in two more places: a
-//! session that opened counted as its gateway's word, and a stop as done after 100 ms.
-//! Proof: the soak of leaving workers (`no_task_runs_beside_itself_where_workers_leave`) broke
-//! the rule in each of its first seeds, and not without deregistrations; the tests here fail one by
-//! one without the repairs.
+//! They guard against ends that are reported without proof: of a worker that has deregistered
+//! but still runs, of a session that opened without any message, and of a stop that was not
+//! confirmed.
 
 mod leased_support;
 
@@ -25,8 +18,8 @@
 use leased_support::{AgentRig, GATEWAY, GatewayRig, at, cpu, job, lists, task, worker_clock};
 use rstest::rstest;
 
-/// An agent with two cores and a run on each, started at 10 ms.
-fn with_two_runs() -> (AgentRig, Vec<RunId>) {
+/// An agent whose worker has two cores and a run on each, started at 10 ms.
+fn agent_with_two_runs() -> (AgentRig, Vec<RunId>) {
     let mut rig = AgentRig::in_control(cpu(2_000));
     let batch = rig.batch(1, 2, 4);
     rig.message(at(10), batch);
@@ -39,11 +32,11 @@
 }
 
 #[test]
-fn a_deregistration_is_answered_when_what_runs_is_proved_to_have_ended() {
-    let (mut rig, runs) = with_two_runs();
+fn a_deregistration_is_answered_once_all_runs_are_proved_ended() {
+    let (mut rig, runs) = agent_with_two_runs();
     rig.deregister(at(50));
     assert_eq!(rig.take_stops(), runs);
-    assert!(rig.ends().is_empty(), "its process is still up");
+    assert!(rig.ends().is_empty(), "the worker process is still running");
     for run in &runs {
         rig.answer_stop(at(51), *run, true);
     }
@@ -54,18 +47,19 @@
         (2, runs[1], WorkerEndKind::Stopped),
     ];
     rig.answer_watch(at(90), lists(&[], &ended));
-    let told = [
+    let expected_ends = [
         (runs[0].task, EndKind::Done),
         (runs[1].task, EndKind::Stopped),
     ];
-    assert_eq!(rig.ends(), told);
+    assert_eq!(rig.ends(), expected_ends);
     assert_eq!(rig.deregistrations, ["life-1"]);
 }
 
-/// The worker waits for its answer for a second; leases are over 0.8 s after the last renewal.
+/// The worker waits up to a second for the answer; its leases expire 0.8 s after the last
+/// renewal.
 #[test]
-fn a_deregistration_of_a_worker_that_answers_no_more_ends_with_its_leases() {
-    let (mut rig, runs) = with_two_runs();
+fn a_deregistration_of_an_unresponsive_worker_is_answered_when_its_leases_expire() {
+    let (mut rig, runs) = agent_with_two_runs();
     rig.deregister(at(50));
     for millis in (60..820).step_by(20) {
         rig.refuse_watch(at(millis));
@@ -82,58 +76,67 @@
 }
 
 #[test]
-fn a_deregistration_where_nothing_runs_is_answered_at_once() {
+fn a_deregistration_without_runs_is_answered_at_once() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.deregister(at(50));
     assert_eq!(rig.deregistrations, ["life-1"]);
 }
 
-/// A heartbeat that overtakes the deregistration, or is held back by a cut.
+/// Heartbeats may be reordered with the deregistration or delayed by a network partition.
 #[test]
-fn a_life_that_has_deregistered_is_given_nothing_by_a_late_heartbeat() {
+fn a_late_heartbeat_does_not_revive_a_deregistered_incarnation() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.deregister(at(50));
     rig.register(at(60), "life-1", cpu(1_000), false);
     rig.answer_watch(at(61), WorkerLists::default());
     assert!(!rig.is_available());
     rig.register(at(70), "life-2", cpu(1_000), false);
-    assert_eq!(rig.take_watches().len(), 1, "the next life is taken on");
+    assert_eq!(
+        rig.take_watches().len(),
+        1,
+        "the agent watches the next incarnation"
+    );
 }
 
-/// It came and left while the agent still held another life for the present one.
+/// The incarnation registered and deregistered while the agent still considered another one
+/// current.
 #[test]
-fn a_life_that_has_deregistered_does_not_follow_another() {
+fn a_deregistered_incarnation_does_not_become_the_current_one() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     rig.register(at(50), "life-2", cpu(1_000), false);
     let id = "life-2".into();
     rig.event(at(60), AgentEvent::Deregistration { id });
     assert_eq!(rig.deregistrations, ["life-2"]);
     rig.end_life(at(70));
-    assert!(rig.take_watches().is_empty(), "there is no life to ask");
+    assert!(
+        rig.take_watches().is_empty(),
+        "there is no incarnation to watch"
+    );
 }
 
-/// A process that has died listens no more. One that leaves may close its door first.
+/// A process that has died refuses connections, but a draining one may close its listener
+/// before its runs end.
 #[rstest]
 #[case::died(false, 2)]
 #[case::leaves(true, 0)]
-fn a_refused_watch_proves_the_end_of_a_life_that_does_not_leave(
+fn a_refused_watch_proves_the_end_of_an_incarnation_that_does_not_drain(
     #[case] is_draining: bool,
     #[case] ends: usize,
 ) {
-    let (mut rig, runs) = with_two_runs();
+    let (mut rig, runs) = agent_with_two_runs();
     rig.register(at(40), "life-1", cpu(2_000), is_draining);
     rig.refuse_watch(at(50));
     assert_eq!(rig.ends().len(), ends);
     rig.lose_watch(at(51));
     rig.tick(at(900));
-    assert_eq!(rig.ends().len(), runs.len(), "its leases are over");
+    assert_eq!(rig.ends().len(), runs.len(), "its leases have expired");
 }
 
-/// Orders go over connections of their own: a door that is closed to new ones proves nothing
-/// while the watch is answered.
+/// Commands use separate connections; a refused one proves nothing while the watch is
+/// answered.
 #[test]
-fn a_refused_order_ends_only_what_it_was_to_start() {
-    let (mut rig, runs) = with_two_runs();
+fn a_refused_stop_ends_no_run() {
+    let (mut rig, runs) = agent_with_two_runs();
     rig.event(
         at(20),
         AgentEvent::StopAnswered {
@@ -143,13 +146,16 @@
         },
     );
     assert!(rig.ends().is_empty());
-    assert!(!rig.take_watches().is_empty(), "the worker is asked");
+    assert!(
+        !rig.take_watches().is_empty(),
+        "the agent watches the worker"
+    );
 }
 
-/// A gateway that lags behind its queue sees neither that the sessions open nor what comes over
-/// them, so it holds the agent for silent and places the runs anew.
+/// A gateway with a long input backlog sees neither new sessions nor messages on them, so it
+/// considers the agent silent and places the runs again.
 #[test]
-fn sessions_that_open_without_a_word_do_not_keep_runs_alive() {
+fn sessions_without_messages_do_not_keep_runs_alive() {
     let mut rig = AgentRig::in_control(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
@@ -164,11 +170,11 @@
     assert_eq!(rig.take_stops(), vec![id]);
 }
 
-/// A lease is the worker's: it is one for all that runs there. While a stop for a silent gateway
-/// is not proved, no other gateway's run may renew it beyond the time at which the silent one
-/// holds its own runs for over.
+/// A worker has one lease for all its runs. While a stop for a silent gateway is unproved,
+/// another gateway's run must not renew the lease past the time at which the silent gateway
+/// considers its own runs expired.
 #[test]
-fn a_worker_that_answers_no_stop_is_not_kept_alive_beyond_the_lapse() {
+fn a_worker_that_ignores_stops_is_not_renewed_beyond_the_expiry() {
     let (other, session) = (Incarnation(8), SessionId(80));
     let mut rig = AgentRig::in_control(cpu(2_000));
     rig.open(at(50), session, other);
@@ -195,11 +201,11 @@
             rig.lose_watch(at(millis));
         }
     }
-    assert_eq!(rig.machine.run_count(), 0, "both have lapsed");
+    assert_eq!(rig.machine.run_count(), 0, "both runs have expired");
 }
 
-/// A gateway with a job of two tasks at an agent, and these as the agent holds them.
-fn with_a_placed_job() -> (GatewayRig, Vec<(TaskId, RunNumber)>) {
+/// A gateway with a job of two tasks at an agent, and those tasks as held by the agent.
+fn gateway_with_a_placed_job() -> (GatewayRig, Vec<(TaskId, RunNumber)>) {
     let mut rig = GatewayRig::new();
     rig.join(at(1), 7, "agent-7", cpu(2_000));
     rig.submit(at(10), 1, job(1, 2, 2_000));
@@ -209,15 +215,15 @@
     (rig, held.collect())
 }
 
-/// A caller that has left hands its job in again 1.3 s later, at any gateway; a run of seconds
-/// that nobody stops is at work beside the next one then.
+/// Guards against long runs that nobody stops: a disconnected caller resubmits its job after
+/// 1.3 s, at any gateway.
 #[rstest]
 #[case::no_session_open(true)]
 #[case::the_stop_was_lost_with_its_session(false)]
-fn what_a_caller_left_is_stopped_over_the_next_session(#[case] is_closed_before: bool) {
-    let (mut rig, held) = with_a_placed_job();
+fn abandoned_tasks_are_stopped_on_the_next_session(#[case] is_session_closed_before: bool) {
+    let (mut rig, held) = gateway_with_a_placed_job();
     let call = CallNumber(1);
-    if is_closed_before {
+    if is_session_closed_before {
         rig.lose_session(at(50), 7);
         rig.event(at(60), GatewayEvent::CallerGone { call });
         assert!(rig.stops.is_empty());
@@ -230,19 +236,19 @@
     assert_eq!(rig.stops, [task(1, 0), task(1, 1)]);
 }
 
-/// What goes on is not stopped for a session that broke.
+/// A broken session alone must not stop runs.
 #[test]
-fn what_a_caller_waits_for_goes_on_over_the_next_session() {
-    let (mut rig, held) = with_a_placed_job();
+fn wanted_tasks_continue_on_the_next_session() {
+    let (mut rig, held) = gateway_with_a_placed_job();
     rig.lose_session(at(50), 7);
     rig.rejoin(at(100), 7, 71, cpu(2_000), held);
     assert!(rig.stops.is_empty() && rig.starts.is_empty());
 }
 
-/// The agent's runs live on for a gateway by its readings alone, and the break of a session has
-/// let the last one grow old.
+/// The agent keeps a gateway's runs alive only while its echoes are recent, and the last one
+/// may have aged while there was no session.
 #[test]
-fn the_first_reading_over_a_session_is_echoed_at_once() {
+fn the_first_timestamp_on_a_session_is_echoed_at_once() {
     let mut rig = GatewayRig::new();
     rig.join(at(1), 7, "agent-7", cpu(2_000));
     rig.lose_session(at(50), 7);
@@ -250,12 +256,16 @@
     rig.rejoin(at(100), 7, 71, cpu(2_000), Vec::new());
     assert_eq!(rig.echoes.last(), Some(&at(100)));
     rig.report(at(101), 71, 0, cpu(2_000), FromAgentBody::Heartbeat);
-    assert_eq!(rig.echoes.last(), Some(&at(100)), "the next has time");
+    assert_eq!(
+        rig.echoes.last(),
+        Some(&at(100)),
+        "later timestamps need not be echoed at once"
+    );
 }
 
-/// A gateway whose worker has one core, with a job of 2 s there and another that waits, stands
-/// still until 1.5 s; the first job's end is what it reads first.
-fn woken_with_a_waiting_job() -> GatewayRig {
+/// A gateway with a one-core worker, one running job and one waiting job, that is suspended
+/// until 1.5 s. The end of the first job is the first message it reads.
+fn gateway_resumed_with_a_waiting_job() -> GatewayRig {
     let mut rig = GatewayRig::new();
     rig.join(at(1), 7, "agent-7", cpu(1_000));
     rig.submit(at(10), 1, job(1, 1, 2_000));
@@ -265,11 +275,11 @@
     rig
 }
 
-/// The caller of the waiting job has left meanwhile and handed it in at another gateway. The
-/// worker's reading, which is fresh, is taken in before the end of the caller's connection.
+/// The caller of the waiting job has resubmitted it elsewhere; the worker's message is read
+/// before the end of the caller's connection.
 #[test]
-fn a_gateway_that_stood_still_hears_that_callers_left_before_it_places_their_jobs() {
-    let mut rig = woken_with_a_waiting_job();
+fn a_resumed_gateway_reads_disconnects_before_it_places_jobs() {
+    let mut rig = gateway_resumed_with_a_waiting_job();
     assert!(rig.starts.is_empty());
     let call = CallNumber(2);
     rig.event(at(1_505), GatewayEvent::CallerGone { call });
@@ -278,19 +288,23 @@
 }
 
 #[test]
-fn a_job_whose_caller_waits_is_placed_soon_after_a_standstill() {
-    let mut rig = woken_with_a_waiting_job();
+fn a_wanted_job_is_placed_soon_after_a_suspension() {
+    let mut rig = gateway_resumed_with_a_waiting_job();
     assert!(rig.starts.is_empty());
     rig.report(at(1_599), 7, 1, cpu(1_000), FromAgentBody::Heartbeat);
-    assert_eq!(rig.answers.len(), 1, "it is not refused meanwhile");
+    assert_eq!(
+        rig.answers.len(),
+        1,
+        "the waiting job is not refused in the meantime"
+    );
     rig.tick(at(1_600));
     assert_eq!(rig.starts.len(), 1);
 }
 
-/// The call waited at the sockets while the gateway was suspended, and the word that its job was
-/// cancelled meanwhile at another gateway behind it.
+/// The submission is queued during the suspension, and behind it the cancellation at another
+/// gateway.
 #[test]
-fn a_job_cancelled_while_its_gateway_stood_still_is_not_started() {
+fn a_job_cancelled_during_a_suspension_is_not_started() {
     let mut rig = GatewayRig::new();
     let session = SessionId(90);
     rig.open_peer(at(1), session);
--- a/laurelstile-core/tests/leased_queues.rs
+++ b/laurelstile-core/tests/leased_queues.rs
@@ -1,4 +1,4 @@
-//! Which queue a request is for, and which names are tasks.
+//! Tests for the lookup of queues, the parsing of ids, and counts of resources.
 
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
 #[case("three.example", "/a/x", None)]
 #[case("one.example", "/c/x", None)]
 #[case("", "", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn the_queue_with_the_longest_path_prefix_of_the_host_is_chosen(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_objective_is_the_stretched_chain_and_the_slack() {
+fn an_objective_is_the_stretched_chain_plus_the_slack() {
     let objective = queue("queue", "host", "/").objective(Span::from_millis(100));
     assert_eq!(objective, Span::from_millis(220));
 }
@@ -64,7 +64,7 @@
 #[case("5C0E7a21d94b36f8.0.1.17", false)]
 #[case("5c0e7a21d94b36f.0.1.17", false)]
 #[case("+c0e7a21d94b36f8.0.1.17", false)]
-fn names_of_tasks_are_read_as_they_are_written(#[case] text: &str, #[case] is_task: bool) {
+fn task_ids_are_parsed_only_in_their_canonical_form(#[case] text: &str, #[case] is_task: bool) {
     let parsed: Result<TaskId, _> = text.parse();
     assert_eq!(parsed.is_ok(), is_task);
     if let Ok(task) = parsed {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn short_ids_keep_their_zeros() {
+fn job_ids_are_padded_with_zeros() {
     assert_eq!(JobId(0xaa).to_string(), "00000000000000aa");
 }
 
@@ -81,7 +81,7 @@
 #[case(3, 2, 1)]
 #[case(4, 2, 2)]
 #[case(1, 2, 0)]
-fn room_is_counted_in_whole_tasks(#[case] free: u32, #[case] need: u32, #[case] times: u32) {
+fn resources_are_counted_in_whole_tasks(#[case] free: u32, #[case] need: u32, #[case] times: u32) {
     let room = |gpus| Room {
         cpu_millis: 0,
         memory_mib: 0,
--- a/laurelstile-core/tests/leased_shares.rs
+++ b/laurelstile-core/tests/leased_shares.rs
@@ -1,4 +1,4 @@
-//! Who was served lately, by queue and size.
+//! Tests for size groups and on-time rates.
 
 mod leased_support;
 
@@ -8,11 +8,11 @@
 const QUEUE: &str = "checks";
 
 #[test]
-fn sizes_are_told_apart_by_the_jobs_that_come() {
+fn size_groups_adapt_to_the_submitted_jobs() {
     let mut on_time_rates = OnTimeRates::default();
     let mut counts = [0_u32; 3];
     for number in 0..4_000_u64 {
-        // All values from 1 to 1,000 in an order without pattern.
+        // All values from 1 to 1,000 in a scattered order.
         let work = 1 + (number * 617) % 1_000;
         let group = on_time_rates.group_of(QUEUE, work);
         if number >= 1_000 {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_group_that_was_refused_ranks_before_one_that_was_served() {
+fn a_refused_group_has_a_lower_rate_than_a_served_one() {
     let mut on_time_rates = OnTimeRates::default();
     for number in 0..20 {
         on_time_rates.record(at(number), QUEUE, SizeGroup::Largest, number % 2 == 0);
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn a_group_without_answers_has_the_share_of_its_queue() {
+fn a_group_without_answers_has_the_rate_of_its_queue() {
     let mut on_time_rates = OnTimeRates::default();
     for number in 0..40 {
         on_time_rates.record(at(number), QUEUE, SizeGroup::Ordinary, number % 2 == 0);
     }
-    let share = on_time_rates.permille(at(40), QUEUE, SizeGroup::Largest);
-    assert!((500..=600).contains(&share), "{share}");
+    let rate = on_time_rates.permille(at(40), QUEUE, SizeGroup::Largest);
+    assert!((500..=600).contains(&rate), "{rate}");
     assert_eq!(
         on_time_rates.permille(at(40), "others", SizeGroup::Largest),
         1_000
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn refusals_are_forgotten_with_time() {
+fn refusals_decay_over_time() {
     let mut on_time_rates = OnTimeRates::default();
     for number in 0..20 {
         on_time_rates.record(at(number), QUEUE, SizeGroup::Ordinary, false);
--- a/laurelstile-core/tests/leased_start_window.rs
+++ b/laurelstile-core/tests/leased_start_window.rs
@@ -1,5 +1,5 @@
-//! The window_bytes on starts under way: it follows the delay of what comes back, and what waits
-//! for it is told the truth.
+//! Tests for the start window: its adaptation to the link, and what happens to jobs that wait
+//! for it.
 
 mod leased_support;
 
@@ -12,9 +12,9 @@
 
 const BATCH: u64 = 700;
 
-/// Sends batches over a link of `bytes_per_milli`, each to another agent, as fast as the
-/// window lets; gives the longest that one waited in the link.
-fn longest_wait(window: &mut StartWindow, bytes_per_milli: u64, millis: u64) -> Span {
+/// Sends batches to different agents over a link of `bytes_per_milli` as fast as the window
+/// permits. Returns the longest queueing time of a batch in the second half of the run.
+fn longest_queueing_time(window: &mut StartWindow, bytes_per_milli: u64, millis: u64) -> Span {
     let mut link_free = at(0);
     let mut reports: Vec<(Timestamp, Incarnation)> = Vec::new();
     let mut longest = Span::default();
@@ -35,7 +35,7 @@
             link_free = link_free
                 .max(now)
                 .after(Span(BATCH * 1_000 / bytes_per_milli));
-            // The second half tells how it is once the window has found out.
+            // Skips the first half, in which the window adapts.
             if milli > millis / 2 {
                 longest = longest.max(link_free.since(now));
             }
@@ -47,18 +47,18 @@
 }
 
 #[test]
-fn starts_do_not_grow_stale_in_a_thin_link() {
+fn starts_do_not_become_stale_on_a_narrow_link() {
     let mut window = StartWindow::default();
-    // 2 Mbit/s.
-    let longest = longest_wait(&mut window, 250, 5_000);
+    // 250 bytes per millisecond are 2 Mbit/s.
+    let longest = longest_queueing_time(&mut window, 250, 5_000);
     assert!(longest < Span::from_millis(150), "{longest:?}");
 }
 
 #[test]
-fn a_thin_link_is_kept_busy() {
+fn a_narrow_link_is_kept_busy() {
     let mut window = StartWindow::default();
-    longest_wait(&mut window, 250, 5_000);
-    // What it carries in 15 ms at least.
+    longest_queueing_time(&mut window, 250, 5_000);
+    // At least what the link carries in 15 ms.
     assert!(
         window.window_bytes() >= 250 * 15,
         "{}",
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn a_wide_link_is_no_bound() {
+fn a_wide_link_is_not_limited() {
     let mut window = StartWindow::default();
-    // 200 Mbit/s: the window grows to what a round trip carries.
-    longest_wait(&mut window, 25_000, 1_000);
+    // At 200 Mbit/s the window grows to what a round trip carries.
+    longest_queueing_time(&mut window, 25_000, 1_000);
     assert!(
         window.window_bytes() > 25_000 * 8,
         "{}",
@@ -78,9 +78,9 @@
     );
 }
 
-/// A few agents that stand still, or are cut off, do not hold the others up.
+/// Suspended or unreachable agents must not delay starts to the others.
 #[test]
-fn one_slow_agent_does_not_lower_the_bound() {
+fn one_slow_agent_does_not_shrink_the_window() {
     let mut window = StartWindow::default();
     let before = window.window_bytes();
     for number in 1..200 {
@@ -95,23 +95,25 @@
 }
 
 #[test]
-fn what_is_never_reported_is_forgotten() {
+fn unreported_batches_expire() {
     let mut window = StartWindow::default();
     let mut sent = 0;
     while window.is_open() {
         sent += 1;
         window.on_sent(at(10), Incarnation(sent), 1, BATCH);
     }
-    let opens_at = window.opens_at().expect("it opens by time");
+    let opens_at = window
+        .opens_at()
+        .expect("a full window opens when its oldest batch expires");
     window.expire(Timestamp(opens_at.0 - 1));
     assert!(!window.is_open());
     window.expire(opens_at);
     assert!(window.is_open());
 }
 
-/// Hands jobs in to a gateway with one large worker until one has to wait; gives how many
-/// were started.
-fn fill(rig: &mut GatewayRig) -> u64 {
+/// Submits jobs to a gateway with one large worker until one has to wait; returns the number
+/// of started jobs.
+fn fill_window(rig: &mut GatewayRig) -> u64 {
     rig.join(at(0), 1, "agent-1", cpu(8_000_000));
     for number in 1.. {
         rig.submit(at(10), number, job(number, 1, 200));
@@ -123,11 +125,11 @@
     unreachable!("the window is unlimited")
 }
 
-/// Nothing of a job that waits for the way out was sent, so it can be refused in time.
+/// No task of a job that waits for the window was sent, so it can be refused as not run.
 #[test]
-fn a_job_that_waits_for_the_way_out_is_refused_as_not_run() {
+fn a_job_that_waits_for_the_window_is_refused_as_not_run() {
     let mut rig = GatewayRig::new();
-    let started = fill(&mut rig);
+    let started = fill_window(&mut rig);
     assert!(started >= 10, "the initial window admits some jobs");
     rig.tick(at(95));
     let refused = Answer::Refused {
@@ -138,9 +140,9 @@
 }
 
 #[test]
-fn a_report_opens_the_way_out_for_what_waits() {
+fn a_report_opens_the_window_for_waiting_jobs() {
     let mut rig = GatewayRig::new();
-    let started = fill(&mut rig);
+    let started = fill_window(&mut rig);
     let room = cpu(8_000_000);
     rig.report(at(15), 1, started, room, FromAgentBody::Heartbeat);
     assert_eq!(rig.starts.len() as u64, started + 1);
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -1,4 +1,4 @@
-//! Calls that have waited on the way in, as agents' messages tell.
+//! Tests for the ingress delay that is estimated from agents' record_messages.
 
 mod leased_support;
 
@@ -11,15 +11,15 @@
 use laurelstile_types::time::{Span, Timestamp};
 use leased_support::{GatewayRig, at, cpu, job};
 
-/// How far the agents' clocks are ahead of the gateway's.
-const AHEAD: u64 = 77_000_000;
+/// Offset of the agents' clocks from the gateway's, in microseconds.
+const AGENT_CLOCK_OFFSET_MICROS: u64 = 77_000_000;
 
 fn agent_clock(time: Timestamp) -> Timestamp {
-    Timestamp(time.0 + AHEAD)
+    Timestamp(time.0 + AGENT_CLOCK_OFFSET_MICROS)
 }
 
 #[test]
-fn clocks_need_no_common_zero() {
+fn clocks_need_not_be_synchronized() {
     let mut path = PathDelay::default();
     assert_eq!(path.record(agent_clock(at(8)), at(10)), Span::default());
     let delay = path.record(agent_clock(at(98)), at(400));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_old_best_time_is_forgotten() {
+fn an_old_minimum_expires() {
     let mut path = PathDelay::default();
     path.record(agent_clock(at(0)), at(0));
     let mut delay = Span::default();
@@ -36,11 +36,16 @@
         let now = at(second * 1_000);
         delay = path.record(agent_clock(at(second * 1_000 - 20)), now);
     }
-    assert_eq!(delay, Span::default(), "the way is 20 ms longer now");
+    assert_eq!(
+        delay,
+        Span::default(),
+        "the longer delay is the new minimum"
+    );
 }
 
-/// Messages of agents, one each 10 ms, that have waited for so long.
-fn messages(way_in: &mut WayIn, from: u64, delay: impl Fn(u64) -> u64) {
+/// Records eight record_messages, one every 10 ms from `from` on, each delayed by `delay(number)`
+/// milliseconds.
+fn record_messages(way_in: &mut WayIn, from: u64, delay: impl Fn(u64) -> u64) {
     for number in 0..8 {
         let now = from + number * 10;
         let sent = agent_clock(at(now - delay(number)));
@@ -49,24 +54,29 @@
 }
 
 #[test]
-fn the_way_in_is_as_long_as_its_fastest_message_tells() {
+fn the_ingress_delay_is_the_minimum_of_recent_messages() {
     let mut way_in = WayIn::default();
-    messages(&mut way_in, 1_000, |_| 2);
+    record_messages(&mut way_in, 1_000, |_| 2);
     assert_eq!(way_in.delay(at(1_080)), Span::default());
-    messages(
+    record_messages(
         &mut way_in,
         2_000,
         |number| if number == 3 { 402 } else { 2 },
     );
     assert_eq!(way_in.delay(at(2_080)), Span::default(), "one slow agent");
-    messages(&mut way_in, 3_000, |number| 252 + number);
+    record_messages(&mut way_in, 3_000, |number| 252 + number);
     assert_eq!(way_in.delay(at(3_080)), Span::from_millis(250));
-    assert_eq!(way_in.delay(at(9_000)), Span::default(), "that is long ago");
+    assert_eq!(
+        way_in.delay(at(9_000)),
+        Span::default(),
+        "the samples are too old"
+    );
 }
 
-/// The objective of the job is 360 ms, of which a quarter may pass until it is refused.
+/// The job's objective is 360 ms; it is refused after a quarter of it, less the caller's round
+/// trip.
 #[test]
-fn a_call_that_has_waited_on_the_way_in_is_refused_sooner() {
+fn a_call_with_ingress_delay_is_refused_sooner() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(500));
     let heartbeat = |rig: &mut GatewayRig, now: u64, sent: u64| {
@@ -100,6 +110,6 @@
         heartbeat(&mut rig, 500 + number, 300 + number);
     }
     rig.submit(at(510), 2, job(2, 1, 200));
-    assert_eq!(rig.answers.len(), 2, "it is refused at once");
+    assert_eq!(rig.answers.len(), 2, "the job is refused at once");
     assert!(is_refused(rig.last_answer()));
 }
