--- a/laurelstile-core/src/leased/gateway/way_in.rs
+++ b/laurelstile-core/src/leased/gateway/ingress_delay.rs
@@ -20,12 +20,12 @@
 
 /// Queueing delays of the latest messages from agents.
 #[derive(Debug, Default)]
-pub struct WayIn {
+pub struct IngressDelay {
     paths: BTreeMap<Incarnation, PathDelay>,
     delays: VecDeque<(Timestamp, Span)>,
 }
 
-impl WayIn {
+impl IngressDelay {
     /// Records a message that an agent sent at `clock`, on the agent's clock.
     pub fn record(&mut self, now: Timestamp, agent: Incarnation, clock: Timestamp) {
         let path = self.paths.entry(agent).or_default();
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -11,20 +11,20 @@
 mod ends;
 mod evacuation;
 pub mod events;
+pub mod ingress_delay;
 mod intake;
 pub mod job;
 mod offers;
 pub mod path_delay;
 mod peers;
 mod placement;
+mod process_suspension;
 pub mod queues;
 pub mod run_times;
 pub mod shares;
 pub mod stages;
-mod standstill;
 pub mod start_window;
 mod suspects;
-pub mod way_in;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,15 +42,15 @@
 use cancels::CancelLog;
 use containment::Containment;
 pub use events::{Answer, EndSource, GatewayDecision, GatewayEffect, GatewayEvent, Refusal};
+use ingress_delay::IngressDelay;
 use job::{CallNumber, Job};
 use offers::AnnouncedJob;
 use peers::Peer;
+use process_suspension::ProcessSuspension;
 use queues::QueueConfiguration;
 use run_times::RunTimes;
 use shares::OnTimeRates;
-use standstill::ProcessSuspension;
 use start_window::StartWindow;
-use way_in::WayIn;
 use workers::Worker;
 
 /// Identity and stop settings of a gateway process.
@@ -95,7 +95,7 @@
     announced: BTreeMap<JobId, AnnouncedJob>,
     run_times: RunTimes,
     on_time_rates: OnTimeRates,
-    way_in: WayIn,
+    way_in: IngressDelay,
     /// Bounds the bytes of start batches in flight to agents.
     start_window: StartWindow,
     cancels: CancelLog,
@@ -127,7 +127,7 @@
             announced: BTreeMap::new(),
             run_times: RunTimes::default(),
             on_time_rates: OnTimeRates::default(),
-            way_in: WayIn::default(),
+            way_in: IngressDelay::default(),
             start_window: StartWindow::default(),
             cancels: CancelLog::default(),
             crashes: CrashLog::default(),
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -2,8 +2,8 @@
 
 mod leased_support;
 
+use laurelstile_core::leased::gateway::ingress_delay::IngressDelay;
 use laurelstile_core::leased::gateway::path_delay::PathDelay;
-use laurelstile_core::leased::gateway::way_in::WayIn;
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent, Refusal};
 use laurelstile_core::leased::messages::{FromAgent, FromAgentBody};
 use laurelstile_core::session::SessionId;
@@ -45,7 +45,7 @@
 
 /// Records eight record_messages, one every 10 ms from `from` on, each delayed by `delay(number)`
 /// milliseconds.
-fn record_messages(way_in: &mut WayIn, from: u64, delay: impl Fn(u64) -> u64) {
+fn record_messages(way_in: &mut IngressDelay, from: u64, delay: impl Fn(u64) -> u64) {
     for number in 0..8 {
         let now = from + number * 10;
         let sent = agent_clock(at(now - delay(number)));
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_ingress_delay_is_the_minimum_of_recent_messages() {
-    let mut way_in = WayIn::default();
+    let mut way_in = IngressDelay::default();
     record_messages(&mut way_in, 1_000, |_| 2);
     assert_eq!(way_in.delay(at(1_080)), Span::default());
     record_messages(
