--- a/laurelstile-core/src/leased/gateway/containment.rs
+++ b/laurelstile-core/src/leased/gateway/containment.rs
@@ -145,7 +145,7 @@
 
     fn queues_to_contain(&self) -> BTreeMap<Arc<str>, String> {
         let configuration = self.configuration.iter();
-        let queues = configuration.flat_map(|known| known.queues.iter());
+        let queues = configuration.flat_map(|configuration| configuration.queues.iter());
         let contained = queues.filter(|queue| {
             let suspects = self.containment.suspect_count(&queue.name);
             let is_contained = self.containment.contains(&queue.name);
@@ -171,7 +171,7 @@
     fn workers_of(&self, service: &str) -> impl Iterator<Item = (Incarnation, &str)> {
         let workers = self.workers.iter().filter(move |(_, worker)| {
             let snapshot = worker.snapshot.as_ref();
-            let is_of_service = snapshot.is_some_and(|known| known.service == service);
+            let is_of_service = snapshot.is_some_and(|snapshot| snapshot.service == service);
             is_of_service && worker.session.is_some()
         });
         workers.map(|(agent, worker)| (*agent, worker.name.as_str()))
--- a/laurelstile-core/src/leased/gateway/evacuation.rs
+++ b/laurelstile-core/src/leased/gateway/evacuation.rs
@@ -99,7 +99,7 @@
         }
         let serves = |worker: &&Worker| {
             let snapshot = worker.snapshot.as_ref();
-            worker.is_reachable(now) && snapshot.is_some_and(|known| known.service == service)
+            worker.is_reachable(now) && snapshot.is_some_and(|snapshot| snapshot.service == service)
         };
         let mut workers = self.workers.values().filter(serves).peekable();
         workers.peek().is_some() && workers.all(|worker| worker.is_evacuated)
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -81,7 +81,7 @@
     Evacuations(Evacuations),
     /// A page of the list of gateways was read from the store.
     Listed(Page),
-    /// The process was asked for a planned stop.
+    /// The process was asked for a graceful shutdown.
     Stop,
     /// Timers may have expired.
     Tick,
@@ -124,7 +124,7 @@
     },
     /// Log or count a decision.
     Decided(GatewayDecision),
-    /// The planned stop is complete; the process may exit.
+    /// The graceful shutdown is complete; the process may exit.
     Stopped,
 }
 
--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -69,7 +69,10 @@
             queue,
             tasks: job.steps.iter().map(|step| step.request.count).sum(),
             objective: job.objective,
-            version: self.configuration.as_ref().map_or(0, |known| known.version),
+            version: self
+                .configuration
+                .as_ref()
+                .map_or(0, |configuration| configuration.version),
         }));
         self.calls.insert(call, id);
         self.waiting.insert((job.latest_start, id));
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Ends all jobs at the limit of a planned stop.
+    /// Ends all jobs at the limit of a graceful shutdown.
     pub(super) fn end_all_jobs(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in jobs {
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -58,11 +58,11 @@
 pub struct Identity {
     /// Name, zone, and the address on which it accepts sessions.
     pub member: Member,
-    /// Time limits of a planned stop of this process.
+    /// Time limits of a graceful shutdown of this process.
     pub stop: StopTimes,
 }
 
-/// Time limits of a planned stop, counted from its start.
+/// Time limits of a graceful shutdown, counted from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct StopTimes {
     /// How long new jobs are still admitted, for callers that have not yet moved to another
@@ -172,7 +172,7 @@
         self.membership.members()
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.is_some()
     }
@@ -395,7 +395,7 @@
         }
     }
 
-    /// Completes a planned stop once the overlap has passed and no job is left; ends the
+    /// Completes a graceful shutdown once the overlap has passed and no job is left; ends the
     /// remaining jobs at the limit.
     fn finish_stop(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let Some(since) = self.stopping_since else {
--- a/laurelstile-core/src/leased/gateway/peers.rs
+++ b/laurelstile-core/src/leased/gateway/peers.rs
@@ -139,7 +139,9 @@
 
     /// Version of the configuration in force, or `None` before the first one.
     fn version(&self) -> Option<u64> {
-        self.configuration.as_ref().map(|known| known.version)
+        self.configuration
+            .as_ref()
+            .map(|configuration| configuration.version)
     }
 
     /// Requests the configuration from a peer that has a newer one; unanswered requests are
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -197,14 +197,14 @@
     }
 
     /// The placement of a task that runs exclusively: on the emptiest suitable worker, if at
-    /// least `least_free` thousandths of it are free.
+    /// least `min_free_permille` of it is free.
     fn exclusive_worker(
         &self,
         now: Timestamp,
         id: JobId,
         step: usize,
         index: u32,
-        least_free: u64,
+        min_free_permille: u64,
     ) -> Option<Candidate> {
         let exclusive = self
             .workers
@@ -217,13 +217,13 @@
         let request = &job.steps[step].request;
         let service = &job.queue.service;
         let usable = self.workers.iter().filter(|(agent, worker)| {
-            let capacity = worker.snapshot.as_ref().map(|known| known.capacity);
+            let capacity = worker.snapshot.as_ref().map(|snapshot| snapshot.capacity);
             worker.is_usable(now, service)
                 && self.may_use_worker(&job.queue, **agent)
                 && capacity.is_some_and(|capacity| request.room.fits(capacity))
                 && worker.has_required_label(request)
         });
         let (agent, worker) = usable.max_by_key(|(_, worker)| worker.free_permille())?;
-        (worker.free_permille() >= least_free).then(|| Candidate::exclusive(*agent, index))
+        (worker.free_permille() >= min_free_permille).then(|| Candidate::exclusive(*agent, index))
     }
 }
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -185,7 +185,7 @@
     /// Updates whether the worker's zone is evacuated.
     pub fn update_evacuation(&mut self, evacuations: &Evacuations) {
         let snapshot = self.snapshot.as_ref();
-        self.is_evacuated = snapshot.is_some_and(|known| evacuations.covers(&known.zone));
+        self.is_evacuated = snapshot.is_some_and(|snapshot| evacuations.covers(&snapshot.zone));
     }
 
     /// Whether the worker may receive tasks of `service` now.
@@ -214,7 +214,7 @@
 
     /// Free part of the worker's CPU capacity, in thousandths.
     pub fn free_permille(&self) -> u64 {
-        let capacity = self.snapshot.as_ref().map(|known| known.capacity);
+        let capacity = self.snapshot.as_ref().map(|snapshot| snapshot.capacity);
         let capacity = capacity.unwrap_or_default().cpu_millis.max(1);
         u64::from(self.free_resources().cpu_millis) * 1_000 / u64::from(capacity)
     }
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -186,13 +186,13 @@
     rig.join(at(20), 2, "agent-2", cpu(4_000));
     let session = SessionId(1);
     rig.event(at(30), GatewayEvent::AgentClosed { session });
-    let lapse = LAPSE_AFTER_SILENCE.as_millis();
+    let expiry = LAPSE_AFTER_SILENCE.as_millis();
     // The gateway is woken at least every 500 ms; longer pauses count as a suspension.
-    rig.tick(at(lapse / 2));
-    rig.tick(at(lapse - 5));
+    rig.tick(at(expiry / 2));
+    rig.tick(at(expiry - 5));
     assert!(rig.starts.is_empty(), "the task may still be running");
     let body = FromAgentBody::Heartbeat;
-    rig.report(at(lapse + 5), 2, 0, cpu(4_000), body);
+    rig.report(at(expiry + 5), 2, 0, cpu(4_000), body);
     assert_eq!(rig.next_start().0, SessionId(2));
 }
 
@@ -325,7 +325,7 @@
 fn a_stopping_gateway_takes_what_is_sure_to_be_done_in_time(
     #[case] millis: u64,
     #[case] estimate: u64,
-    #[case] is_taken: bool,
+    #[case] is_admitted: bool,
 ) {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(4_000));
@@ -336,7 +336,7 @@
     rig.submit(at(3_900), 1, job(1, 1, 3_000));
     rig.report(at(millis - 10), 1, 1, cpu(3_000), FromAgentBody::Heartbeat);
     rig.submit(at(millis), 2, job(2, 1, estimate));
-    assert_eq!(rig.answers.is_empty(), is_taken, "{:?}", rig.answers);
+    assert_eq!(rig.answers.is_empty(), is_admitted, "{:?}", rig.answers);
 }
 
 /// Guards against calls that are still unanswered when the process is killed.
@@ -451,8 +451,8 @@
     }
 }
 
-/// A new agent process reads the worker's record from the store; only gateways know how old it
-/// is.
+/// A new agent process learns of its worker from a stored record; only gateways know how old
+/// that is.
 #[test]
 fn a_new_agent_process_is_told_how_long_its_predecessor_was_silent() {
     let mut rig = GatewayRig::new();
@@ -485,8 +485,8 @@
     assert!(rig.starts.is_empty());
 }
 
-/// Guards against retrying a failing task forever when its own failures make workers
-/// suspected.
+/// Guards against retrying a failing task until the caller's deadline when its own failures
+/// make workers suspected.
 #[test]
 fn failures_on_suspected_workers_are_tolerated_up_to_a_limit() {
     let mut rig = GatewayRig::new();
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -1,4 +1,4 @@
-//! Tests for the ingress delay that is estimated from agents' record_messages.
+//! Tests for the ingress delay that is estimated from agents' messages.
 
 mod leased_support;
 
@@ -43,7 +43,7 @@
     );
 }
 
-/// Records eight record_messages, one every 10 ms from `from` on, each delayed by `delay(number)`
+/// Records eight messages, one every 10 ms from `from` on, each delayed by `delay(number)`
 /// milliseconds.
 fn record_messages(way_in: &mut IngressDelay, from: u64, delay: impl Fn(u64) -> u64) {
     for number in 0..8 {
