--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -7,8 +7,7 @@
 use super::{Answer, GatewayDecision, GatewayEffect, LeasedGateway, Refusal};
 use crate::leased::task::JobId;
 
-/// Retry delay after a refusal whose cause is temporary, such as a missing worker or
-/// configuration.
+/// Minimum retry delay after refusals other than for lack of capacity.
 pub(super) const RETRY_DELAY: Span = Span::from_millis(1_000);
 /// Retry delay after a refusal for lack of capacity.
 const OVERLOAD_RETRY_DELAY: Span = Span::from_millis(500);
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -250,7 +250,7 @@
     pub steps: Vec<Step>,
 }
 
-/// A job is placed or refused within this fraction of its objective.
+/// A job is placed or refused within its objective divided by this.
 const DECISION_DIVISOR: u64 = 4;
 /// Network round trip between caller and gateway, which counts towards the response time.
 const CALLER_ROUND_TRIP: Span = Span::from_millis(8);
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -203,7 +203,7 @@
                 self.on_peer_message(now, session, message, effects);
             }
             GatewayEvent::Configuration(configuration) => {
-                self.install(configuration, effects);
+                self.apply(configuration, effects);
             }
             GatewayEvent::Evacuations(update) => self.on_evacuations_read(now, update, effects),
             GatewayEvent::Listed(page) => self.membership.on_listed(now, page),
--- a/laurelstile-core/src/leased/gateway/peers.rs
+++ b/laurelstile-core/src/leased/gateway/peers.rs
@@ -95,7 +95,7 @@
                     effects.push(GatewayEffect::ToPeer { session, message });
                 }
             }
-            ToPeer::Configuration(configuration) => self.install(configuration, effects),
+            ToPeer::Configuration(configuration) => self.apply(configuration, effects),
             ToPeer::Evacuations(update) => self.on_peer_evacuations(now, update, effects),
             ToPeer::Crashes(crashes) => self.on_peer_crashes(now, session, &crashes, effects),
             ToPeer::Suspect { queue, task } => {
@@ -120,7 +120,7 @@
     /// Puts a newer configuration in force and announces its version to peers. An older one is
     /// ignored, so that a configuration never reverts. Only the version is sent, because peers
     /// usually read the same configuration from the store.
-    pub(super) fn install(
+    pub(super) fn apply(
         &mut self,
         configuration: QueueConfiguration,
         effects: &mut Vec<GatewayEffect>,
