--- a/laurelstile-core/src/leased/agent/crash_memory.rs
+++ b/laurelstile-core/src/leased/agent/crash_memory.rs
@@ -9,7 +9,7 @@
 use laurelstile_types::time::Span;
 
 use super::super::crashes::{CrashedTask, WorkerCrash};
-use super::super::life_name::LifeName;
+use super::super::worker_incarnation::WorkerIncarnation;
 use super::ledger::Run;
 use super::{LeasedAgent, LifeEnd};
 
@@ -66,7 +66,7 @@
     /// had said that it leaves: then its tasks have nothing to do with it.
     pub(super) fn note_life_end(
         &mut self,
-        life: &LifeName,
+        life: &WorkerIncarnation,
         was_draining: bool,
         end: LifeEnd,
         tasks: Vec<CrashedTask>,
@@ -74,7 +74,7 @@
         let has_crashed = end != LifeEnd::Deregistered && !was_draining;
         if has_crashed && !tasks.is_empty() {
             self.crash_memory.add(WorkerCrash {
-                life: life.to_string(),
+                incarnation: life.to_string(),
                 runs: u32::try_from(tasks.len()).unwrap_or(u32::MAX),
                 tasks,
             });
--- a/laurelstile-core/src/leased/gateway/evacuation.rs
+++ b/laurelstile-core/src/leased/gateway/evacuation.rs
@@ -26,7 +26,7 @@
         update: Evacuations,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        if self.evacuations.update(update) != Update::Late {
+        if self.evacuations.update(update) != Update::Stale {
             self.broadcast_evacuations(now, effects);
         }
     }
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -17,7 +17,7 @@
 use super::workers::Worker;
 use super::{GatewayDecision, GatewayEffect, LeasedGateway};
 use crate::leased::messages::{StartBatch, ToAgentBody};
-use crate::leased::room::Room;
+use crate::leased::resources::Resources;
 use crate::leased::task::{JobId, RunNumber};
 
 /// Cost of a worker in another zone, in microseconds of run time.
@@ -40,7 +40,7 @@
     /// its service.
     is_contained: bool,
     label: Option<String>,
-    room: Room,
+    resources: Resources,
 }
 
 impl Shortage {
@@ -50,7 +50,7 @@
         let has_same_workers =
             self.queue.service == queue.service && self.is_contained == is_contained;
         let is_narrower = self.label.is_none() || self.label == step.label;
-        has_same_workers && is_narrower && self.room.fits(step.room)
+        has_same_workers && is_narrower && self.resources.fits_in(step.resources)
     }
 }
 
@@ -125,7 +125,7 @@
                     queue: Arc::clone(&job.queue),
                     is_contained,
                     label: request.label.clone(),
-                    room: request.room,
+                    resources: request.resources,
                 });
                 return false;
             };
@@ -173,7 +173,7 @@
         self.workers
             .values()
             .filter(|worker| worker.is_usable(now, service))
-            .map(|worker| worker.report.pace_percent)
+            .map(|worker| worker.report.run_time_percent)
             .min()
     }
 
@@ -190,15 +190,15 @@
         }
         let free = worker.free_resources();
         let tasks = request
-            .room
-            .times_in(free)
+            .resources
+            .count_fitting_in(free)
             .min(worker.remaining_tasks())
             .min(wanted);
         if tasks == 0 {
             return None;
         }
         let snapshot = worker.snapshot.as_ref()?;
-        let run_time_percent = u64::from(worker.report.pace_percent);
+        let run_time_percent = u64::from(worker.report.run_time_percent);
         let is_remote = request
             .near
             .as_ref()
@@ -251,9 +251,9 @@
         let request = &job.steps[step].request;
         let count = u32::try_from(tasks.len()).unwrap_or(u32::MAX);
         let reported = if candidate.offer.is_some() {
-            Room::default()
+            Resources::default()
         } else {
-            request.room.times(count)
+            request.resources.multiplied_by(count)
         };
         let max_wait = if candidate.is_exclusive {
             EXCLUSIVE_MAX_WAIT
@@ -273,12 +273,12 @@
             job: id,
             step: u32::try_from(step).unwrap_or(u32::MAX),
             input: job.input.clone(),
-            room: request.room,
+            resources: request.resources,
             estimate_millis: u32::try_from(request.estimate.as_millis()).unwrap_or(u32::MAX),
-            patience_millis: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
+            max_wait_millis: u32::try_from(max_wait.as_millis()).unwrap_or(u32::MAX),
             tasks,
             offer: candidate.offer,
-            is_alone: candidate.is_exclusive,
+            is_exclusive: candidate.is_exclusive,
             has_stalled,
         };
         effects.push(GatewayEffect::Decided(GatewayDecision::Placed {
@@ -305,7 +305,7 @@
     best_percent: u32,
     worker: &Worker,
 ) -> Option<u32> {
-    let run_time_percent = worker.report.pace_percent;
+    let run_time_percent = worker.report.run_time_percent;
     let run_time = request.estimate.0 * u64::from(run_time_percent) / 100;
     let is_slow =
         run_time > job.objective.0 && run_time_percent >= best_percent.saturating_mul(SLOW_FACTOR);
--- a/laurelstile-core/src/leased/gateway/start_window.rs
+++ b/laurelstile-core/src/leased/gateway/start_window.rs
@@ -14,7 +14,7 @@
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
 
-use crate::leased::timing::START_FRESHNESS;
+use crate::leased::timing::MAX_START_ECHO_AGE;
 
 /// Minimum window: about six batches, so that the window can recover after it was reduced too
 /// far.
@@ -29,7 +29,7 @@
 /// Number of latest batches whose minimum delay is used.
 const DELAY_SAMPLES: usize = 8;
 /// Unreported batches older than this are stale or lost and are no longer counted.
-const BATCH_EXPIRY: Span = START_FRESHNESS;
+const BATCH_EXPIRY: Span = MAX_START_ECHO_AGE;
 /// Lower limit of the factor by which one step reduces the window.
 const MIN_REDUCTION_FACTOR: f64 = 0.5;
 
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -11,7 +11,7 @@
 use super::candidate::Candidate;
 use super::job::{Job, task_id};
 use super::{Answer, GatewayDecision, GatewayEffect, LeasedGateway};
-use crate::leased::crashes::{Standing, WorkerCrash};
+use crate::leased::crashes::{Suspicion, WorkerCrash};
 use crate::leased::messages::ToPeer;
 use crate::leased::task::{JobId, TaskId};
 use crate::session::SessionId;
@@ -38,11 +38,11 @@
     ) -> Vec<WorkerCrash> {
         let mut new_crashes = Vec::new();
         for crash in crashes {
-            let tasks = self.crashes.note(now, crash);
+            let tasks = self.crashes.record(now, crash);
             for task in &tasks {
                 self.on_task_crash(now, *task, effects);
             }
-            new_crashes.extend(crash.narrowed(|task| tasks.contains(&task)));
+            new_crashes.extend(crash.restricted_to(|task| tasks.contains(&task)));
         }
         new_crashes
     }
@@ -56,7 +56,7 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let new_crashes = self.on_crashes(now, crashes, effects);
-        if !new_crashes.is_empty() && !self.crashes.may_repeat(now) {
+        if !new_crashes.is_empty() && !self.crashes.may_have_evicted(now) {
             self.forward_to_peers(source, &ToPeer::Crashes(new_crashes), effects);
         }
     }
@@ -71,7 +71,9 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let is_own = |task: TaskId| self.jobs.contains_key(&task.job);
-        let own = crashes.iter().filter_map(|crash| crash.narrowed(is_own));
+        let own = crashes
+            .iter()
+            .filter_map(|crash| crash.restricted_to(is_own));
         let own: Vec<WorkerCrash> = own.collect();
         self.on_crashes(now, crashes, effects);
         if own.is_empty() {
@@ -82,22 +84,22 @@
 
     /// Handles another crash of a worker that ran a task.
     fn on_task_crash(&mut self, now: Timestamp, task: TaskId, effects: &mut Vec<GatewayEffect>) {
-        let standing = self.crashes.standing(task);
+        let suspicion = self.crashes.suspicion(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         job.separate(task);
-        if standing >= Standing::Suspect {
+        if suspicion >= Suspicion::Suspect {
             self.record_suspect(now, task, effects);
             effects.push(GatewayEffect::Decided(GatewayDecision::Suspected {
                 task,
-                is_given_up: standing == Standing::Poison,
-                workers: self.crashes.lives_of(task),
+                is_given_up: suspicion == Suspicion::Poison,
+                workers: self.crashes.incarnations_of(task),
             }));
         }
-        match standing {
-            Standing::Poison => self.finish(now, task.job, Answer::Failed, effects),
-            Standing::Suspect if self.suspects_waiting() >= MAX_SUSPECTS_WAITING => {
+        match suspicion {
+            Suspicion::Poison => self.finish(now, task.job, Answer::Failed, effects),
+            Suspicion::Suspect if self.suspects_waiting() >= MAX_SUSPECTS_WAITING => {
                 self.finish(now, task.job, Answer::GivenUp, effects);
             }
             _ => {}
@@ -107,7 +109,7 @@
     /// The task of a job that must not be started again, if there is one.
     pub(super) fn poison_task_of(&self, job: JobId) -> Option<TaskId> {
         let mut tasks = self.crashes.tasks_of(job);
-        tasks.find(|task| self.crashes.standing(*task) == Standing::Poison)
+        tasks.find(|task| self.crashes.suspicion(*task) == Suspicion::Poison)
     }
 
     /// Separates those tasks of a new job during which workers have already crashed.
@@ -121,7 +123,7 @@
     fn suspects_waiting(&self) -> usize {
         let has_suspect = |job: &&Job| {
             job.waiting_separated()
-                .any(|task| self.crashes.standing(task) == Standing::Suspect)
+                .any(|task| self.crashes.suspicion(task) == Suspicion::Suspect)
         };
         self.jobs.values().filter(has_suspect).count()
     }
@@ -160,11 +162,11 @@
         step: usize,
         index: u32,
     ) -> Option<Candidate> {
-        let standing = self.crashes.standing(task_id(id, step, index));
-        if standing == Standing::Suspect {
+        let suspicion = self.crashes.suspicion(task_id(id, step, index));
+        if suspicion == Suspicion::Suspect {
             return self.exclusive_worker(now, id, step, index, 0);
         }
-        if standing == Standing::OneEarlyCrash {
+        if suspicion == Suspicion::OneEarlyCrash {
             let idle = self.exclusive_worker(now, id, step, index, IDLE_PERMILLE);
             if idle.is_some() {
                 return idle;
@@ -182,7 +184,7 @@
         }
         let tasks = self.workers.get(&agent).map(|worker| &worker.tasks);
         let mut tasks = tasks.into_iter().flat_map(|tasks| tasks.keys());
-        tasks.any(|task| self.crashes.standing(*task) != Standing::Clear)
+        tasks.any(|task| self.crashes.suspicion(*task) != Suspicion::Clear)
     }
 
     /// The first waiting separated task of a step that may share a worker with unsuspected
@@ -191,7 +193,7 @@
         let mut waiting = job.steps[step].separated.iter();
         let may_share = |index: &&u32| {
             let task = task_id(job.id, step, **index);
-            self.crashes.standing(task) != Standing::Suspect
+            self.crashes.suspicion(task) != Suspicion::Suspect
         };
         waiting.find(may_share).copied()
     }
@@ -220,7 +222,7 @@
             let capacity = worker.snapshot.as_ref().map(|snapshot| snapshot.capacity);
             worker.is_usable(now, service)
                 && self.may_use_worker(&job.queue, **agent)
-                && capacity.is_some_and(|capacity| request.room.fits(capacity))
+                && capacity.is_some_and(|capacity| request.resources.fits_in(capacity))
                 && worker.has_required_label(request)
         });
         let (agent, worker) = usable.max_by_key(|(_, worker)| worker.free_permille())?;
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -6,9 +6,11 @@
 
 use super::super::evacuation::Evacuations;
 use super::super::messages::{Offer, Report, Snapshot};
-use super::super::room::Room;
+use super::super::resources::Resources;
 use super::super::task::{JobId, RunNumber, TaskId};
-use super::super::timing::{BUSY_HEARTBEAT, BUSY_SUSPICION, IDLE_SUSPICION, LAPSE_AFTER_SILENCE};
+use super::super::timing::{
+    AGENT_EXPIRY, BUSY_HEARTBEAT_INTERVAL, BUSY_SUSPECT_AFTER, IDLE_SUSPECT_AFTER,
+};
 use super::job::StepRequest;
 use crate::session::SessionId;
 
@@ -16,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnreportedBatch {
     number: u64,
-    room: Room,
+    resources: Resources,
     tasks: u32,
 }
 
@@ -70,9 +72,9 @@
             snapshot: None,
             report: Report {
                 processed: 0,
-                free: Room::default(),
+                free: Resources::default(),
                 limit: 0,
-                pace_percent: 100,
+                run_time_percent: 100,
             },
             clock: Timestamp::default(),
             echoed: Timestamp::default(),
@@ -156,21 +158,23 @@
 
     /// Records a batch of `tasks` tasks that use `room` of the reported free resources;
     /// returns its number.
-    pub fn next_batch(&mut self, room: Room, tasks: u32) -> u64 {
+    pub fn next_batch(&mut self, resources: Resources, tasks: u32) -> u64 {
         self.batches += 1;
         self.unreported.push_back(UnreportedBatch {
             number: self.batches,
-            room,
+            resources,
             tasks,
         });
         self.batches
     }
 
     /// Estimated free resources: those reported, less those of unacknowledged batches.
-    pub fn free_resources(&self) -> Room {
+    pub fn free_resources(&self) -> Resources {
         self.unreported
             .iter()
-            .fold(self.report.free, |free, batch| free.minus(batch.room))
+            .fold(self.report.free, |free, batch| {
+                free.saturating_sub(batch.resources)
+            })
     }
 
     /// Number of tasks that the worker may still receive.
@@ -192,9 +196,9 @@
     pub fn is_usable(&self, now: Timestamp, service: &str) -> bool {
         let silence = now.since(self.last_heard);
         let bound = if self.tasks.is_empty() {
-            IDLE_SUSPICION
+            IDLE_SUSPECT_AFTER
         } else {
-            BUSY_SUSPICION
+            BUSY_SUSPECT_AFTER
         };
         self.session.is_some()
             && !self.is_evacuated
@@ -234,12 +238,12 @@
     /// Whether the agent is connected and was heard recently, regardless of the worker's
     /// state.
     pub fn is_reachable(&self, now: Timestamp) -> bool {
-        self.session.is_some() && now.since(self.last_heard) <= IDLE_SUSPICION
+        self.session.is_some() && now.since(self.last_heard) <= IDLE_SUSPECT_AFTER
     }
 
     /// When all runs at the agent are certain to have ended if nothing more is heard of it.
     pub fn expires_at(&self) -> Timestamp {
-        self.last_heard.after(Span(LAPSE_AFTER_SILENCE.0 + 1))
+        self.last_heard.after(Span(AGENT_EXPIRY.0 + 1))
     }
 
     pub fn has_label(&self, label: &str) -> bool {
@@ -265,7 +269,7 @@
         let interval = if self.awaits_echo {
             Span::default()
         } else {
-            BUSY_HEARTBEAT
+            BUSY_HEARTBEAT_INTERVAL
         };
         needs_heartbeat.then(|| self.last_sent.after(interval))
     }
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -62,7 +62,7 @@
     let session = SessionId(9);
     rig.open_peer(at(0), session);
     let message = ToPeer::Evacuations(evacuations(7, &["here"]));
-    rig.hear_peer(at(1), session, message);
+    rig.peer_message(at(1), session, message);
     let late = GatewayEvent::Evacuations(evacuations(6, &[]));
     rig.event(at(2), late);
     rig.submit(at(10), 1, job(1, 1, 100));
@@ -90,7 +90,7 @@
     rig.event(at(1), GatewayEvent::Evacuations(evacuations(5, &["here"])));
     rig.evacuations.clear();
     let message = ToPeer::Evacuations(evacuations(9, &["here"]));
-    rig.hear_peer(at(2), session, message);
+    rig.peer_message(at(2), session, message);
     assert!(rig.evacuations.is_empty());
 }
 
@@ -121,7 +121,7 @@
 /// reach the store.
 #[test]
 fn an_agent_in_an_evacuated_zone_refuses_starts_of_every_gateway() {
-    let mut rig = AgentRig::in_control(cpu(4_000));
+    let mut rig = AgentRig::with_worker(cpu(4_000));
     rig.open(at(1), OTHER_SESSION, Incarnation(8));
     let sent = ToAgentBody::Evacuations(evacuations(5, &["there", "here"]));
     rig.message_from(at(2), OTHER_SESSION, sent);
@@ -144,7 +144,7 @@
 
 #[test]
 fn an_evacuation_refuses_queued_starts_and_keeps_running_tasks() {
-    let mut rig = AgentRig::in_control(cpu(1_000));
+    let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 50);
     rig.message(at(10), batch);
     let started = rig.take_starts();
--- a/laurelstile-core/tests/leased_start_window.rs
+++ b/laurelstile-core/tests/leased_start_window.rs
@@ -143,7 +143,7 @@
 fn a_report_opens_the_window_for_waiting_jobs() {
     let mut rig = GatewayRig::new();
     let started = fill_window(&mut rig);
-    let room = cpu(8_000_000);
-    rig.report(at(15), 1, started, room, FromAgentBody::Heartbeat);
+    let resources = cpu(8_000_000);
+    rig.report(at(15), 1, started, resources, FromAgentBody::Heartbeat);
     assert_eq!(rig.starts.len() as u64, started + 1);
 }
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -11,12 +11,12 @@
     AgentDecision, AgentEffect, AgentEvent, AgentOptions, HeartbeatTimes, LeasedAgent, Order,
     OrderAnswer, OrderKind, WatchAnswer,
 };
-use laurelstile_core::leased::life_name::{Born, LifeName};
 use laurelstile_core::leased::messages::{
     EndKind, FromAgent, FromAgentBody, Offer, Report, StartBatch, ToAgent, ToAgentBody,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{JobId, RunId, RunNumber, TaskId};
+use laurelstile_core::leased::worker_incarnation::{StartTime, WorkerIncarnation};
 use laurelstile_core::session::SessionId;
 use laurelstile_types::id::Incarnation;
 use laurelstile_types::time::{Span, Timestamp};
@@ -39,7 +39,7 @@
     /// Ids whose deregistrations were answered, in order.
     pub deregistrations: Vec<String>,
     /// The life of the worker for which orders are answered.
-    pub life: LifeName,
+    pub incarnation: WorkerIncarnation,
     /// What the log was told, in order.
     pub decisions: Vec<AgentDecision>,
     /// Whether the machine has stopped.
@@ -69,8 +69,8 @@
 /// What the worker says of itself in a life.
 pub fn registration(
     now: Timestamp,
-    life: LifeName,
-    capacity: Room,
+    life: WorkerIncarnation,
+    capacity: Resources,
     draining: bool,
 ) -> Registration {
     Registration {
@@ -105,7 +105,7 @@
             closed: Vec::new(),
             remembered: Vec::new(),
             deregistrations: Vec::new(),
-            life: "life-1".into(),
+            incarnation: "life-1".into(),
             decisions: Vec::new(),
             stopped: false,
             now: Timestamp::default(),
@@ -125,15 +125,17 @@
     }
 
     /// Free room that a session was last told of, in thousandths of a core.
-    pub fn told_room(&self, session: SessionId) -> Option<u32> {
+    pub fn reported_free_cpu(&self, session: SessionId) -> Option<u32> {
         let reports = self.sent.iter().rev().filter(|(to, _)| *to == session);
         let mut rooms = reports.filter_map(|(_, message)| message.report);
         rooms.next().map(|report| report.free.cpu_millis)
     }
 
     /// Rooms that a session was offered, in order.
-    pub fn offers(&self, session: SessionId) -> Vec<Room> {
-        self.offers_to(session).map(|offer| offer.room).collect()
+    pub fn offers(&self, session: SessionId) -> Vec<Resources> {
+        self.offers_to(session)
+            .map(|offer| offer.resources)
+            .collect()
     }
 
     /// The last offer to a session.
@@ -155,14 +157,14 @@
     pub fn message_from(&mut self, now: Timestamp, session: SessionId, body: ToAgentBody) {
         let message = ToAgent {
             echo: now,
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         self.event(now, AgentEvent::Message { session, message });
     }
 
     /// An agent with its worker, of so much room, under control.
-    pub fn in_control(capacity: Room) -> Self {
+    pub fn with_worker(capacity: Resources) -> Self {
         let mut rig = Self::new();
         rig.register(at(0), "life-1", capacity, false);
         rig.answer_watch(at(0), WorkerLists::default());
@@ -200,7 +202,7 @@
     }
 
     /// The worker registers or sends a heartbeat.
-    pub fn register(&mut self, now: Timestamp, life: &str, capacity: Room, draining: bool) {
+    pub fn register(&mut self, now: Timestamp, life: &str, capacity: Resources, draining: bool) {
         self.heartbeat(now, registration(now, life.into(), capacity, draining));
     }
 
@@ -210,7 +212,7 @@
     }
 
     /// The record of an earlier agent is read; its clock is old.
-    pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Room) {
+    pub fn recall(&mut self, now: Timestamp, life: &str, capacity: Resources) {
         let registration = Registration {
             life: life.into(),
             service: "parcels".into(),
@@ -237,7 +239,7 @@
     pub fn message_with_echo(&mut self, now: Timestamp, echo: Timestamp, body: ToAgentBody) {
         let message = ToAgent {
             echo,
-            seen: 0,
+            acknowledged: 0,
             body,
         };
         self.event(
@@ -253,7 +255,7 @@
     pub fn acknowledge_all(&mut self, now: Timestamp) {
         let message = ToAgent {
             echo: now,
-            seen: u64::MAX,
+            acknowledged: u64::MAX,
             body: ToAgentBody::Heartbeat,
         };
         self.event(
@@ -267,19 +269,19 @@
 
     /// A batch of first runs, each of one core for 100 ms, that may wait for
     /// `patience` milliseconds.
-    pub fn batch(&mut self, job: u64, tasks: u32, patience_millis: u32) -> ToAgentBody {
+    pub fn batch(&mut self, job: u64, tasks: u32, max_wait_millis: u32) -> ToAgentBody {
         self.batches += 1;
         ToAgentBody::Start(StartBatch {
             number: self.batches,
             job: JobId(job),
             step: 0,
             input: "input".into(),
-            room: cpu(1_000),
+            resources: cpu(1_000),
             estimate_millis: 100,
-            patience_millis,
+            max_wait_millis,
             tasks: (0..tasks).map(|index| (index, RunNumber(1))).collect(),
             offer: None,
-            is_alone: false,
+            is_exclusive: false,
             has_stalled: false,
         })
     }
@@ -345,19 +347,19 @@
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
     }
 
     /// A start gets no answer.
-    pub fn lose_start(&mut self, now: Timestamp, run: RunId) {
+    pub fn time_out_start(&mut self, now: Timestamp, run: RunId) {
         self.event(
             now,
             AgentEvent::StartAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer: Err(OrderFailure::NoAnswer),
             },
         );
@@ -377,7 +379,7 @@
             now,
             AgentEvent::StopAnswered {
                 run,
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
@@ -390,39 +392,39 @@
 
     /// The worker answers the watch that is under way, or rejects it.
     pub fn answer_watch_as(&mut self, now: Timestamp, lists: Result<WorkerLists, Rejection>) {
-        let born = self.life.born;
-        self.answer_watch_of(now, born, lists);
+        let started_at = self.incarnation.started_at;
+        self.answer_watch_of(now, started_at, lists);
     }
 
     /// A process that was born then answers the watch that is under way.
     pub fn answer_watch_of(
         &mut self,
         now: Timestamp,
-        born: Option<Born>,
+        started_at: Option<StartTime>,
         lists: Result<WorkerLists, Rejection>,
     ) {
         self.take_watches();
         let answer = Ok(WatchAnswer {
             clock: Some(worker_clock(now)),
-            born,
+            started_at,
             lists,
         });
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer,
             },
         );
     }
 
     /// The watch that is under way gets no answer.
-    pub fn lose_watch(&mut self, now: Timestamp) {
+    pub fn time_out_watch(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::NoAnswer);
     }
 
     /// The worker, asked by the watch that is under way, answers that its life is over.
-    pub fn end_life(&mut self, now: Timestamp) {
+    pub fn end_incarnation(&mut self, now: Timestamp) {
         self.fail_watch(now, OrderFailure::LifeOver);
     }
 
@@ -436,7 +438,7 @@
         self.event(
             now,
             AgentEvent::Watched {
-                life: self.life.clone(),
+                life: self.incarnation.clone(),
                 answer: Err(failure),
             },
         );
@@ -444,7 +446,7 @@
 
     /// The worker says that it ends once it is answered.
     pub fn deregister(&mut self, now: Timestamp) {
-        let id = Arc::clone(&self.life.id);
+        let id = Arc::clone(&self.incarnation.id);
         self.event(now, AgentEvent::Deregistration { id });
     }
 
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -9,10 +9,10 @@
     Answer, GatewayDecision, GatewayEffect, GatewayEvent, Identity, LeasedGateway,
 };
 use laurelstile_core::leased::messages::{
-    Announcement, EndKind, FromAgent, FromAgentBody, Member, Offer, Report, Snapshot, StartBatch,
-    TaskEnd, ToAgentBody, ToPeer, UNLIMITED,
+    Announcement, EndKind, FromAgent, FromAgentBody, Member, NO_TASK_LIMIT, Offer, Report,
+    Snapshot, StartBatch, TaskEnd, ToAgentBody, ToPeer,
 };
-use laurelstile_core::leased::room::Room;
+use laurelstile_core::leased::resources::Resources;
 use laurelstile_core::leased::task::{RunNumber, TaskId};
 use laurelstile_core::session::{Remote, SessionId};
 use laurelstile_types::id::Incarnation;
@@ -144,13 +144,13 @@
     }
 
     /// A peer sends a message.
-    pub fn hear_peer(&mut self, now: Timestamp, session: SessionId, message: ToPeer) {
+    pub fn peer_message(&mut self, now: Timestamp, session: SessionId, message: ToPeer) {
         self.event(now, GatewayEvent::PeerMessage { session, message });
     }
 
     /// An agent joins with a session of that number and a worker of so much
     /// room.
-    pub fn join(&mut self, now: Timestamp, session: u64, name: &str, capacity: Room) {
+    pub fn join(&mut self, now: Timestamp, session: u64, name: &str, capacity: Resources) {
         self.join_for(now, session, name, "parcels", capacity);
     }
 
@@ -161,7 +161,7 @@
         session: u64,
         name: &str,
         service: &str,
-        capacity: Room,
+        capacity: Resources,
     ) {
         self.join_from(now, session, name, service, "here", capacity);
     }
@@ -174,7 +174,7 @@
         name: &str,
         service: &str,
         zone: &str,
-        capacity: Room,
+        capacity: Resources,
     ) {
         let opened = GatewayEvent::AgentOpened {
             session: SessionId(session),
@@ -207,7 +207,7 @@
         now: Timestamp,
         agent: u64,
         session: u64,
-        capacity: Room,
+        capacity: Resources,
         held: Vec<(TaskId, RunNumber)>,
     ) {
         let opened = GatewayEvent::AgentOpened {
@@ -235,7 +235,7 @@
         now: Timestamp,
         session: u64,
         processed: u64,
-        free: Room,
+        free: Resources,
         body: FromAgentBody,
     ) {
         let message = FromAgent {
@@ -243,11 +243,11 @@
             report: Some(Report {
                 processed,
                 free,
-                limit: UNLIMITED,
-                pace_percent: 100,
+                limit: NO_TASK_LIMIT,
+                run_time_percent: 100,
             }),
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body,
         };
         self.event(
@@ -265,19 +265,19 @@
         now: Timestamp,
         session: u64,
         processed: u64,
-        free: Room,
-        pace_percent: u32,
+        free: Resources,
+        run_time_percent: u32,
     ) {
         let message = FromAgent {
             clock: now,
             report: Some(Report {
                 processed,
                 free,
-                limit: UNLIMITED,
-                pace_percent,
+                limit: NO_TASK_LIMIT,
+                run_time_percent,
             }),
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(session);
@@ -290,7 +290,7 @@
             clock: now,
             report: None,
             offers: vec![offer],
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(session);
@@ -309,7 +309,7 @@
         now: Timestamp,
         batch: &(SessionId, StartBatch),
         how: EndKind,
-        free: Room,
+        free: Resources,
     ) {
         let (session, batch) = batch;
         let ends = batch
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -84,7 +84,7 @@
             clock: at(sent),
             report: None,
             offers: Vec::new(),
-            sought: None,
+            candidates: None,
             body: FromAgentBody::Heartbeat,
         };
         let session = SessionId(1);
