--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnreportedBatch {
     number: u64,
-    resources: Resources,
+    used: Resources,
     tasks: u32,
 }
 
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Records a batch of `tasks` tasks that use `room` of the reported free resources;
+    /// Records a batch of `tasks` tasks that occupies `used` of the reported free resources;
     /// returns its number.
-    pub fn next_batch(&mut self, resources: Resources, tasks: u32) -> u64 {
+    pub fn next_batch(&mut self, used: Resources, tasks: u32) -> u64 {
         self.batches += 1;
         self.unreported.push_back(UnreportedBatch {
             number: self.batches,
-            resources,
+            used,
             tasks,
         });
         self.batches
@@ -172,9 +172,7 @@
     pub fn free_resources(&self) -> Resources {
         self.unreported
             .iter()
-            .fold(self.report.free, |free, batch| {
-                free.saturating_sub(batch.resources)
-            })
+            .fold(self.report.free, |acc, sent| acc.saturating_sub(sent.used))
     }
 
     /// Number of tasks that the worker may still receive.
