--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -87,7 +87,7 @@
             self.on_task_done(now, id, effects);
             return;
         }
-        effects.push(GatewayEffect::Decided(GatewayDecision::CameBack {
+        effects.push(GatewayEffect::Decided(GatewayDecision::TaskReturned {
             run,
             agent: agent.to_owned(),
             how,
@@ -242,7 +242,7 @@
             self.mark_all_lost(now, old, EndSource::Successor, effects);
             self.workers.remove(&old);
             self.start_window.remove_agent(old);
-            self.way_in.remove_agent(old);
+            self.ingress_delay.remove_agent(old);
         }
     }
 
@@ -262,7 +262,7 @@
             .collect();
         for agent in expired {
             if let Some(worker) = self.workers.get(&agent) {
-                effects.push(GatewayEffect::Decided(GatewayDecision::AgentLapsed {
+                effects.push(GatewayEffect::Decided(GatewayDecision::AgentExpired {
                     agent: worker.name.clone(),
                     tasks: worker.tasks.len(),
                     silence: now.since(worker.last_heard),
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -5,8 +5,8 @@
 use laurelstile_types::time::Span;
 
 use super::job::{CallNumber, Feature, JobRequest};
+use super::on_time_rates::SizeGroup;
 use super::queues::{QueueConfiguration, QueueSettings};
-use super::shares::SizeGroup;
 use super::stages::StageTimes;
 use crate::leased::evacuation::Evacuations;
 use crate::leased::membership::View;
@@ -26,7 +26,7 @@
         request: JobRequest,
     },
     /// A caller's connection closed before its answer was sent.
-    CallerGone {
+    CallerDisconnected {
         /// Number under which the answer is returned.
         call: CallNumber,
     },
@@ -80,7 +80,7 @@
     /// The evacuated zones were read from the store.
     Evacuations(Evacuations),
     /// A page of the list of gateways was read from the store.
-    Listed(Page),
+    ListPage(Page),
     /// The process was asked for a graceful shutdown.
     Stop,
     /// Timers may have expired.
@@ -206,7 +206,7 @@
 #[derive(Clone, Debug)]
 pub enum GatewayDecision {
     /// A job was admitted.
-    Taken {
+    Admitted {
         /// Id of the job.
         job: JobId,
         /// Settings of the queue.
@@ -232,7 +232,7 @@
         age: Span,
     },
     /// A task ended without success and is placed again, unless its job ends.
-    CameBack {
+    TaskReturned {
         /// Id of the ended run.
         run: RunId,
         /// Name of the agent beside the worker.
@@ -304,7 +304,7 @@
         age: Span,
     },
     /// An agent was silent for so long that its tasks are considered lost.
-    AgentLapsed {
+    AgentExpired {
         /// Name of the agent beside the worker.
         agent: String,
         /// Number of lost tasks.
--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -40,7 +40,7 @@
         }
         let id = request.id;
         let queue = request.queue.clone();
-        let waited = self.way_in.delay(now);
+        let waited = self.ingress_delay.delay(now);
         request.time_left = Span(request.time_left.0.saturating_sub(waited.0));
         self.update_worker_absence(now);
         if let Some(reason) = self.refusal_of(now, &request) {
@@ -60,10 +60,10 @@
         }
         let arrival = Timestamp(now.0.saturating_sub(waited.0));
         let mut job = Job::new(arrival, call, request, &self.run_times);
-        job.way_in = waited;
+        job.ingress_delay = waited;
         self.separate_crashed_tasks(&mut job);
         job.group = self.on_time_rates.group_of(&job.queue.name, job.work());
-        effects.push(GatewayEffect::Decided(GatewayDecision::Taken {
+        effects.push(GatewayEffect::Decided(GatewayDecision::Admitted {
             job: id,
             queue,
             tasks: job.steps.iter().map(|step| step.request.count).sum(),
@@ -97,7 +97,7 @@
         &self,
         call: CallNumber,
         request: &JobRequest,
-        way_in: Span,
+        ingress_delay: Span,
         answer: Answer,
         effects: &mut Vec<GatewayEffect>,
     ) {
@@ -111,7 +111,7 @@
             size: None,
             work: 0,
             stages: StageTimes {
-                way_in,
+                ingress_delay,
                 ..StageTimes::default()
             },
         }));
@@ -174,7 +174,7 @@
         self.stop_reported || (now >= since.after(times.overlap) && !fits_before_limit)
     }
 
-    pub(super) fn on_caller_gone(
+    pub(super) fn on_caller_disconnected(
         &mut self,
         now: Timestamp,
         call: CallNumber,
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -8,9 +8,9 @@
 use super::super::input::JobInput;
 use super::super::resources::Resources;
 use super::super::task::{JobId, RunNumber, TaskId};
+use super::on_time_rates::SizeGroup;
 use super::queues::QueueSettings;
 use super::run_times::RunTimes;
-use super::shares::SizeGroup;
 use super::stages::StageTimes;
 
 /// Number of a caller's request, unique within this process.
@@ -223,7 +223,7 @@
     /// When the caller sent the job, corrected by the ingress delay.
     pub arrival: Timestamp,
     /// Estimated delay between the caller's sending and the arrival at the gateway.
-    pub way_in: Span,
+    pub ingress_delay: Span,
     /// When the first task was sent to an agent.
     pub first_placed: Option<Timestamp>,
     /// Response time objective, derived from the estimates.
@@ -280,7 +280,7 @@
             queue: request.queue,
             input: request.input,
             arrival: now,
-            way_in: Span::default(),
+            ingress_delay: Span::default(),
             first_placed: None,
             objective,
             latest_start: now.after(slack),
@@ -303,10 +303,10 @@
 
     /// Time spent in each stage until `now`.
     pub fn stages(&self, now: Timestamp) -> StageTimes {
-        let received_at = self.arrival.after(self.way_in);
+        let received_at = self.arrival.after(self.ingress_delay);
         let first_placed = self.first_placed.unwrap_or(now);
         StageTimes {
-            way_in: self.way_in,
+            ingress_delay: self.ingress_delay,
             waiting: first_placed.since(received_at),
             working: now.since(first_placed),
         }
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -15,13 +15,13 @@
 mod intake;
 pub mod job;
 mod offers;
+pub mod on_time_rates;
 pub mod path_delay;
 mod peers;
 mod placement;
 mod process_suspension;
 pub mod queues;
 pub mod run_times;
-pub mod shares;
 pub mod stages;
 pub mod start_window;
 mod suspects;
@@ -45,11 +45,11 @@
 use ingress_delay::IngressDelay;
 use job::{CallNumber, Job};
 use offers::AnnouncedJob;
+use on_time_rates::OnTimeRates;
 use peers::Peer;
 use process_suspension::ProcessSuspension;
 use queues::QueueConfiguration;
 use run_times::RunTimes;
-use shares::OnTimeRates;
 use start_window::StartWindow;
 use workers::Worker;
 
@@ -95,7 +95,7 @@
     announced: BTreeMap<JobId, AnnouncedJob>,
     run_times: RunTimes,
     on_time_rates: OnTimeRates,
-    way_in: IngressDelay,
+    ingress_delay: IngressDelay,
     /// Bounds the bytes of start batches in flight to agents.
     start_window: StartWindow,
     cancels: CancelLog,
@@ -127,7 +127,7 @@
             announced: BTreeMap::new(),
             run_times: RunTimes::default(),
             on_time_rates: OnTimeRates::default(),
-            way_in: IngressDelay::default(),
+            ingress_delay: IngressDelay::default(),
             start_window: StartWindow::default(),
             cancels: CancelLog::default(),
             crashes: CrashLog::default(),
@@ -186,7 +186,9 @@
     ) {
         match event {
             GatewayEvent::Submit { call, request } => self.on_submit(now, call, request, effects),
-            GatewayEvent::CallerGone { call } => self.on_caller_gone(now, call, effects),
+            GatewayEvent::CallerDisconnected { call } => {
+                self.on_caller_disconnected(now, call, effects)
+            }
             GatewayEvent::Cancel { call, job } => self.on_cancel(now, call, job, effects),
             GatewayEvent::AgentOpened { session, remote } => {
                 self.on_agent_opened(now, session, remote, effects);
@@ -206,7 +208,7 @@
                 self.apply(configuration, effects);
             }
             GatewayEvent::Evacuations(update) => self.on_evacuations_read(now, update, effects),
-            GatewayEvent::Listed(page) => self.membership.on_list_page(now, page),
+            GatewayEvent::ListPage(page) => self.membership.on_list_page(now, page),
             GatewayEvent::Stop => {
                 self.stopping_since.get_or_insert(now);
             }
@@ -318,7 +320,7 @@
         let Some(worker) = self.workers.get_mut(&agent) else {
             return;
         };
-        self.way_in.record(now, agent, message.clock);
+        self.ingress_delay.record(now, agent, message.clock);
         worker.last_heard = now;
         worker.clock = worker.clock.max(message.clock);
         if let Some(report) = message.report {
--- a/laurelstile-core/src/leased/gateway/stages.rs
+++ b/laurelstile-core/src/leased/gateway/stages.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageTimes {
     /// In transit, before the gateway received it.
-    pub way_in: Span,
+    pub ingress_delay: Span,
     /// Queued in the gateway, until the first task was sent to an agent or, if none was, until
     /// the answer.
     pub waiting: Span,
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -44,7 +44,7 @@
     let second = rig.next_start();
     rig.end(at(260), &second, EndKind::Done, cpu(1_000));
     let stages = |waiting, working| StageTimes {
-        way_in: Span::default(),
+        ingress_delay: Span::default(),
         waiting: Span::from_millis(waiting),
         working: Span::from_millis(working),
     };
@@ -172,7 +172,7 @@
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 2, 100));
     let call = CallNumber(1);
-    rig.event(at(50), GatewayEvent::CallerGone { call });
+    rig.event(at(50), GatewayEvent::CallerDisconnected { call });
     assert_eq!(rig.stops.len(), 2);
     assert!(rig.answers.is_empty());
 }
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -225,10 +225,10 @@
     let call = CallNumber(1);
     if is_session_closed_before {
         rig.lose_session(at(50), 7);
-        rig.event(at(60), GatewayEvent::CallerGone { call });
+        rig.event(at(60), GatewayEvent::CallerDisconnected { call });
         assert!(rig.stops.is_empty());
     } else {
-        rig.event(at(50), GatewayEvent::CallerGone { call });
+        rig.event(at(50), GatewayEvent::CallerDisconnected { call });
         rig.stops.clear();
         rig.lose_session(at(51), 7);
     }
@@ -282,7 +282,7 @@
     let mut rig = gateway_resumed_with_a_waiting_job();
     assert!(rig.starts.is_empty());
     let call = CallNumber(2);
-    rig.event(at(1_505), GatewayEvent::CallerGone { call });
+    rig.event(at(1_505), GatewayEvent::CallerDisconnected { call });
     rig.tick(at(1_700));
     assert!(rig.starts.is_empty());
 }
--- a/laurelstile-core/tests/leased_shares.rs
+++ b/laurelstile-core/tests/leased_shares.rs
@@ -2,7 +2,7 @@
 
 mod leased_support;
 
-use laurelstile_core::leased::gateway::shares::{OnTimeRates, SizeGroup};
+use laurelstile_core::leased::gateway::on_time_rates::{OnTimeRates, SizeGroup};
 use leased_support::at;
 
 const QUEUE: &str = "checks";
--- a/laurelstile-sim/src/fleet/world.rs
+++ b/laurelstile-sim/src/fleet/world.rs
@@ -212,7 +212,7 @@
             }
             Happening::Renew => self.renew(machine),
             Happening::Listed(page) => {
-                self.gateway_event(machine, GatewayEvent::Listed(page));
+                self.gateway_event(machine, GatewayEvent::ListPage(page));
             }
             Happening::Configuration(version) => {
                 let news = GatewayEvent::Configuration(machines::configuration(version));
--- a/laurelstile-sim/src/leased/world/callers.rs
+++ b/laurelstile-sim/src/leased/world/callers.rs
@@ -118,7 +118,7 @@
         let process = &self.gateways[gateway];
         if process.incarnation == incarnation && process.frozen_until <= self.now {
             let call = CallNumber(index as u64);
-            self.gateway_event(gateway, GatewayEvent::CallerGone { call });
+            self.gateway_event(gateway, GatewayEvent::CallerDisconnected { call });
         }
     }
 }
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use laurelstile_core::leased::agent::{AgentDecision, LifeEnd, LostRun};
-use laurelstile_core::leased::gateway::shares::SizeGroup;
+use laurelstile_core::leased::gateway::on_time_rates::SizeGroup;
 use laurelstile_core::leased::gateway::stages::StageTimes;
 use laurelstile_core::leased::gateway::{Answer, GatewayDecision};
 use metrics::{counter, gauge, histogram};
@@ -61,7 +61,7 @@
         }
         match decision {
             GatewayDecision::OfferAnswered { .. } | GatewayDecision::StepDone { .. } => {}
-            GatewayDecision::Taken {
+            GatewayDecision::Admitted {
                 job,
                 queue,
                 tasks,
@@ -79,7 +79,7 @@
             } => {
                 log::info!(event = "placed", job:% = job, agent = agent.as_str(), tasks = tasks, report_age_ms = report_age.as_millis(), age_ms = age.as_millis(); "");
             }
-            GatewayDecision::CameBack {
+            GatewayDecision::TaskReturned {
                 run,
                 agent,
                 how,
@@ -99,7 +99,7 @@
             } => {
                 let answer = answer_name(answer);
                 let size = size.map_or("unknown", SizeGroup::name);
-                log::info!(event = "answered", job:% = job, queue = queue.name.as_str(), answer = answer.as_str(), age_ms = age.as_millis(), objective_ms = objective.as_millis(), size = size, work_core_ms = *work, way_in_ms = stages.way_in.as_millis(), waiting_ms = stages.waiting.as_millis(); "");
+                log::info!(event = "answered", job:% = job, queue = queue.name.as_str(), answer = answer.as_str(), age_ms = age.as_millis(), objective_ms = objective.as_millis(), size = size, work_core_ms = *work, way_in_ms = stages.ingress_delay.as_millis(), waiting_ms = stages.waiting.as_millis(); "");
             }
             GatewayDecision::Evacuated(evacuations) => {
                 let zones: Vec<&str> = evacuations.zones.iter().map(String::as_str).collect();
@@ -125,7 +125,7 @@
             GatewayDecision::Abandoned { job, age } => {
                 log::info!(event = "abandoned", job:% = job, age_ms = age.as_millis(); "");
             }
-            GatewayDecision::AgentLapsed {
+            GatewayDecision::AgentExpired {
                 agent,
                 tasks,
                 silence,
@@ -327,7 +327,7 @@
             let standing = if *is_given_up { "given_up" } else { "alone" };
             counter!(TASKS_SUSPECTED, "standing" => standing).increment(1);
         }
-        GatewayDecision::CameBack { how, .. } => {
+        GatewayDecision::TaskReturned { how, .. } => {
             counter!(CAME_BACK, "how" => how.name()).increment(1);
         }
         _ => {}
@@ -336,7 +336,7 @@
 
 fn count_stages(queue: &str, stages: &StageTimes) {
     let spans = [
-        ("way_in", stages.way_in),
+        ("way_in", stages.ingress_delay),
         ("waiting", stages.waiting),
         ("working", stages.working),
     ];
--- a/laurelstiled/src/leased/gate.rs
+++ b/laurelstiled/src/leased/gate.rs
@@ -162,7 +162,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if let Some(input) = self.input.take() {
-            let _ = input.send(GatewayInput::Event(GatewayEvent::CallerGone {
+            let _ = input.send(GatewayInput::Event(GatewayEvent::CallerDisconnected {
                 call: self.call,
             }));
         }
--- a/laurelstiled/src/leased/gateway.rs
+++ b/laurelstiled/src/leased/gateway.rs
@@ -312,7 +312,7 @@
             GatewayEvent::PeerClosed { session } => {
                 self.peers.remove(session);
             }
-            GatewayEvent::CallerGone { call } => {
+            GatewayEvent::CallerDisconnected { call } => {
                 self.calls.remove(call);
             }
             GatewayEvent::Stop => log::info!(event = "stopping"; "planned stop"),
--- a/laurelstiled/src/leased/membership.rs
+++ b/laurelstiled/src/leased/membership.rs
@@ -47,7 +47,7 @@
             Ok(pages) => {
                 from = pages.last().map_or("", Page::next).to_owned();
                 for page in pages {
-                    let _ = input.send(GatewayInput::Event(GatewayEvent::Listed(page)));
+                    let _ = input.send(GatewayInput::Event(GatewayEvent::ListPage(page)));
                 }
                 RENEWAL
             }
