--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -42,10 +42,10 @@
         let Some(worker) = self.workers.get_mut(&agent) else {
             return;
         };
-        if end.number <= worker.seen {
+        if end.number <= worker.last_received_end {
             return;
         }
-        worker.seen = end.number;
+        worker.last_received_end = end.number;
         if worker.tasks.get(&end.task) != Some(&end.run) {
             return;
         }
--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -40,8 +40,8 @@
         }
         let id = request.id;
         let queue = request.queue.clone();
-        let waited = self.ingress_delay.delay(now);
-        request.time_left = Span(request.time_left.0.saturating_sub(waited.0));
+        let ingress_delay = self.ingress_delay.delay(now);
+        request.time_left = Span(request.time_left.0.saturating_sub(ingress_delay.0));
         self.update_worker_absence(now);
         if let Some(reason) = self.refusal_of(now, &request) {
             let until = self
@@ -51,16 +51,16 @@
                 reason,
                 retry_after: Span(until.since(now).0.max(RETRY_DELAY.0)),
             };
-            self.answer_unadmitted(call, &request, waited, answer, effects);
+            self.answer_unadmitted(call, &request, ingress_delay, answer, effects);
             return;
         }
         if let Some(answer) = self.known_outcome(now, id) {
-            self.answer_unadmitted(call, &request, waited, answer, effects);
+            self.answer_unadmitted(call, &request, ingress_delay, answer, effects);
             return;
         }
-        let arrival = Timestamp(now.0.saturating_sub(waited.0));
+        let arrival = Timestamp(now.0.saturating_sub(ingress_delay.0));
         let mut job = Job::new(arrival, call, request, &self.run_times);
-        job.ingress_delay = waited;
+        job.ingress_delay = ingress_delay;
         self.separate_crashed_tasks(&mut job);
         job.group = self.on_time_rates.group_of(&job.queue.name, job.work());
         effects.push(GatewayEffect::Decided(GatewayDecision::Admitted {
@@ -174,7 +174,7 @@
         self.stop_reported || (now >= since.after(times.overlap) && !fits_before_limit)
     }
 
-    pub(super) fn on_caller_disconnected(
+    pub(super) fn on_disconnect(
         &mut self,
         now: Timestamp,
         call: CallNumber,
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -186,9 +186,7 @@
     ) {
         match event {
             GatewayEvent::Submit { call, request } => self.on_submit(now, call, request, effects),
-            GatewayEvent::CallerDisconnected { call } => {
-                self.on_caller_disconnected(now, call, effects)
-            }
+            GatewayEvent::CallerDisconnected { call } => self.on_disconnect(now, call, effects),
             GatewayEvent::Cancel { call, job } => self.on_cancel(now, call, job, effects),
             GatewayEvent::AgentOpened { session, remote } => {
                 self.on_agent_opened(now, session, remote, effects);
@@ -368,7 +366,7 @@
         worker.record_sent(now);
         let message = ToAgent {
             echo: worker.clock,
-            acknowledged: worker.seen,
+            acknowledged: worker.last_received_end,
             body,
         };
         effects.push(GatewayEffect::ToAgent { session, message });
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -45,9 +45,9 @@
     /// Whether no timestamp has been echoed on this session yet.
     pub awaits_echo: bool,
     /// Highest number of a received end.
-    pub seen: u64,
+    pub last_received_end: u64,
     /// Highest number of an acknowledged end.
-    pub acknowledged: u64,
+    pub last_acknowledged_end: u64,
     /// This gateway's tasks at the agent.
     pub tasks: BTreeMap<TaskId, RunNumber>,
     /// Those of the tasks that were given up and are to be stopped.
@@ -81,8 +81,8 @@
             last_heard: now,
             last_sent: now,
             awaits_echo: true,
-            seen: 0,
-            acknowledged: 0,
+            last_received_end: 0,
+            last_acknowledged_end: 0,
             tasks: BTreeMap::new(),
             unwanted: BTreeSet::new(),
             has_crashed: false,
@@ -255,7 +255,7 @@
         self.awaits_echo &= self.clock <= self.echoed;
         self.last_sent = now;
         self.echoed = self.clock;
-        self.acknowledged = self.seen;
+        self.last_acknowledged_end = self.last_received_end;
     }
 
     /// When a heartbeat is due to acknowledge an end or echo a timestamp. The first timestamp
@@ -263,7 +263,8 @@
     /// its echoes are recent, and the last one may have aged while there was no session.
     pub fn heartbeat_due(&self) -> Option<Timestamp> {
         self.session?;
-        let needs_heartbeat = self.clock > self.echoed || self.seen > self.acknowledged;
+        let needs_heartbeat =
+            self.clock > self.echoed || self.last_received_end > self.last_acknowledged_end;
         let interval = if self.awaits_echo {
             Span::default()
         } else {
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -15,14 +15,14 @@
 const EARLY: bool = true;
 const LATE: bool = false;
 
-/// A crash of worker incarnation `life` while it ran tasks of job 1, given by index.
-fn crash(life: &str, is_early: bool, runs: u32, indices: &[u32]) -> WorkerCrash {
+/// A crash of a worker incarnation while it ran tasks of job 1, given by index.
+fn crash(incarnation: &str, is_early: bool, runs: u32, indices: &[u32]) -> WorkerCrash {
     let tasks = indices.iter().map(|index| CrashedTask {
         task: task(1, *index),
         is_early,
     });
     WorkerCrash {
-        incarnation: life.into(),
+        incarnation: incarnation.into(),
         runs,
         tasks: tasks.collect(),
     }
@@ -51,8 +51,13 @@
     runs: u32,
 ) {
     let indices: Vec<u32> = batch.1.tasks.iter().map(|(index, _)| *index).collect();
-    let life = format!("life-{}-{}", batch.0.0, now.0);
-    report_crash(rig, now, batch.0, &crash(&life, is_early, runs, &indices));
+    let incarnation = format!("life-{}-{}", batch.0.0, now.0);
+    report_crash(
+        rig,
+        now,
+        batch.0,
+        &crash(&incarnation, is_early, runs, &indices),
+    );
     rig.end(now, batch, EndKind::Lost, cpu(0));
 }
 
@@ -139,14 +144,14 @@
             crash_worker_of(&mut rig, at(millis), &batch, LATE, 9);
         }
     }
-    let alone = rig.next_start();
-    assert!(alone.1.is_exclusive);
-    assert_eq!(alone.1.tasks.len(), 1);
+    let exclusive = rig.next_start();
+    assert!(exclusive.1.is_exclusive);
+    assert_eq!(exclusive.1.tasks.len(), 1);
     assert!(
         rig.starts.is_empty(),
         "the other one waits until the first has ended"
     );
-    rig.end(at(200), &alone, EndKind::Done, cpu(8_000));
+    rig.end(at(200), &exclusive, EndKind::Done, cpu(8_000));
     assert!(rig.next_start().1.is_exclusive);
 }
 
@@ -168,9 +173,9 @@
 
 /// Guards against losing a task's crashes when its job is resubmitted at another gateway.
 #[rstest]
-#[case::alone(&[EARLY, EARLY], 9, None, true)]
+#[case::exclusive(&[EARLY, EARLY], 9, None, true)]
 #[case::failed(&[EARLY, EARLY, EARLY], 9, Some(Answer::Failed), false)]
-#[case::failed_alone(&[EARLY, EARLY], 1, Some(Answer::Failed), false)]
+#[case::failed_exclusively(&[EARLY, EARLY], 1, Some(Answer::Failed), false)]
 fn crashes_reported_by_peers_count_for_a_job_submitted_later(
     #[case] crashes: &[bool],
     #[case] runs: u32,
@@ -371,11 +376,11 @@
 #[test]
 fn an_exclusive_run_waits_for_other_runs_and_blocks_new_ones() {
     let mut rig = agent_with_two_runs(60);
-    let mut alone = rig.batch(3, 1, 1_000);
-    if let ToAgentBody::Start(batch) = &mut alone {
+    let mut exclusive = rig.batch(3, 1, 1_000);
+    if let ToAgentBody::Start(batch) = &mut exclusive {
         batch.is_exclusive = true;
     }
-    rig.message(at(70), alone);
+    rig.message(at(70), exclusive);
     assert!(rig.take_starts().is_empty());
     let batch = rig.batch(4, 1, 50);
     rig.message(at(90), batch);
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -186,14 +186,14 @@
     rig.message_from(at(100), session, batch);
     let kept = rig.take_starts()[0];
     rig.answer_start(at(102), kept, None);
-    let lapse = worker_clock(at(100 + AGENT_EXPIRY.as_millis()));
+    let expiry = worker_clock(at(100 + AGENT_EXPIRY.as_millis()));
     for millis in (110..2_000).step_by(10) {
         rig.message_from(at(millis), session, ToAgentBody::Heartbeat);
         for stop in rig.take_stops() {
             rig.answer_stop(at(millis), stop, false);
         }
         let latest = rig.leases().into_iter().max();
-        assert!(latest <= Some(lapse), "at {millis} ms: {latest:?}");
+        assert!(latest <= Some(expiry), "at {millis} ms: {latest:?}");
         if millis < 1_000 {
             let percent = 60 + u32::try_from(millis / 50).expect("a percentage");
             rig.answer_watch(at(millis), lists(&[(left, percent), (kept, percent)], &[]));
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -45,29 +45,33 @@
 
 /// Records eight messages, one every 10 ms from `from` on, each delayed by `delay(number)`
 /// milliseconds.
-fn record_messages(way_in: &mut IngressDelay, from: u64, delay: impl Fn(u64) -> u64) {
+fn record_messages(ingress_delay: &mut IngressDelay, from: u64, delay: impl Fn(u64) -> u64) {
     for number in 0..8 {
         let now = from + number * 10;
         let sent = agent_clock(at(now - delay(number)));
-        way_in.record(at(now), Incarnation(number % 4), sent);
+        ingress_delay.record(at(now), Incarnation(number % 4), sent);
     }
 }
 
 #[test]
 fn the_ingress_delay_is_the_minimum_of_recent_messages() {
-    let mut way_in = IngressDelay::default();
-    record_messages(&mut way_in, 1_000, |_| 2);
-    assert_eq!(way_in.delay(at(1_080)), Span::default());
+    let mut ingress_delay = IngressDelay::default();
+    record_messages(&mut ingress_delay, 1_000, |_| 2);
+    assert_eq!(ingress_delay.delay(at(1_080)), Span::default());
     record_messages(
-        &mut way_in,
+        &mut ingress_delay,
         2_000,
         |number| if number == 3 { 402 } else { 2 },
     );
-    assert_eq!(way_in.delay(at(2_080)), Span::default(), "one slow agent");
-    record_messages(&mut way_in, 3_000, |number| 252 + number);
-    assert_eq!(way_in.delay(at(3_080)), Span::from_millis(250));
     assert_eq!(
-        way_in.delay(at(9_000)),
+        ingress_delay.delay(at(2_080)),
+        Span::default(),
+        "one slow agent"
+    );
+    record_messages(&mut ingress_delay, 3_000, |number| 252 + number);
+    assert_eq!(ingress_delay.delay(at(3_080)), Span::from_millis(250));
+    assert_eq!(
+        ingress_delay.delay(at(9_000)),
         Span::default(),
         "the samples are too old"
     );
