--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -337,7 +337,7 @@
     }
 
     /// Indices of the steps with tasks that may be placed now.
-    pub fn placeable(&self) -> Vec<usize> {
+    pub fn placeable_steps(&self) -> Vec<usize> {
         (0..self.steps.len())
             .filter(|step| self.steps[*step].has_waiting() && self.is_ready(*step))
             .collect()
--- a/laurelstile-core/src/leased/gateway/offers.rs
+++ b/laurelstile-core/src/leased/gateway/offers.rs
@@ -101,7 +101,7 @@
             if now < job.not_before {
                 continue;
             }
-            for step in job.placeable() {
+            for step in job.placeable_steps() {
                 let Some(candidate) = self.candidate_for_offer(now, id, step, agent, offer) else {
                     continue;
                 };
@@ -205,7 +205,7 @@
             return;
         }
         let mut agents = Vec::new();
-        for step in job.placeable() {
+        for step in job.placeable_steps() {
             let index = u32::try_from(step).unwrap_or(u32::MAX);
             let announcement = announcement_of(now, job, step, rank);
             for agent in self.announcement_targets(now, job, step) {
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -88,7 +88,7 @@
             return true;
         };
         let mut is_placed = true;
-        for step in job.placeable() {
+        for step in job.placeable_steps() {
             is_placed &= self.place_step(now, id, step, shortages, effects);
             is_placed &= self.place_separated(now, id, step, effects);
         }
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -24,7 +24,7 @@
 const MAX_SUSPECTS_WAITING: usize = 3;
 /// Minimum free part of a worker, in thousandths, on which a task with one early crash runs
 /// exclusively.
-const IDLE_PERMILLE: u64 = 300;
+const MIN_FREE_PERMILLE: u64 = 300;
 /// How long an exclusive task may wait at its worker for the other tasks there to end.
 pub(super) const EXCLUSIVE_MAX_WAIT: Span = Span::from_millis(1_000);
 
@@ -167,7 +167,7 @@
             return self.exclusive_worker(now, id, step, index, 0);
         }
         if suspicion == Suspicion::OneEarlyCrash {
-            let idle = self.exclusive_worker(now, id, step, index, IDLE_PERMILLE);
+            let idle = self.exclusive_worker(now, id, step, index, MIN_FREE_PERMILLE);
             if idle.is_some() {
                 return idle;
             }
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -213,7 +213,7 @@
     });
     rig.to_peers.clear();
     report_crash(&mut rig, at(20), batch.0, &reported);
-    let passed: Vec<&WorkerCrash> = rig
+    let forwarded: Vec<&WorkerCrash> = rig
         .to_peers
         .iter()
         .filter_map(|(_, message)| match message {
@@ -221,7 +221,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(passed, [&crash("life-1", EARLY, 2, &[0])]);
+    assert_eq!(forwarded, [&crash("life-1", EARLY, 2, &[0])]);
 }
 
 #[test]
@@ -259,7 +259,7 @@
     (crashes, first_crash.is_some() && first_crash < first_end)
 }
 
-/// An agent whose worker runs task 1/0 since 10 ms and task 1/1 since `second`.
+/// An agent whose worker runs task 1/0 since 10 ms and task 1/1 since `second` ms.
 fn agent_with_two_runs(second: u64) -> AgentRig {
     let mut rig = AgentRig::with_worker(cpu(4_000));
     for (millis, index) in [(10, 0), (second, 1)] {
@@ -324,7 +324,7 @@
 /// Silence alone may be a network partition or a suspended machine; only a new incarnation
 /// proves a crash.
 #[rstest]
-#[case::cut(false)]
+#[case::partitioned(false)]
 #[case::crashed(true)]
 fn a_silent_worker_has_crashed_once_a_new_incarnation_registers(#[case] is_replaced: bool) {
     let mut rig = agent_with_two_runs(60);
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -46,11 +46,12 @@
         .map(|(session, _)| *session)
         .collect();
     assert_eq!(sent, [SessionId(1), SessionId(2)]);
-    let is_news = |message: &ToPeer| matches!(message, ToPeer::Evacuations(news) if *news == known);
+    let is_update =
+        |message: &ToPeer| matches!(message, ToPeer::Evacuations(update) if *update == known);
     assert!(
         rig.to_peers
             .iter()
-            .any(|(to, message)| *to == peer && is_news(message))
+            .any(|(to, message)| *to == peer && is_update(message))
     );
     rig.join_from(at(5), 3, "agent-3", "parcels", "here", cpu(8_000));
     assert_eq!(rig.evacuations.last(), Some(&(SessionId(3), known)));
