--- /dev/null
+++ b/laurelstile-core/src/leased/gateway/process_suspension.rs
@@ -0,0 +1,53 @@
+//! Detects that the gateway process was suspended. Before it places any job it then processes
+//! the messages that arrived in the meantime: the cancellation of a job may be queued behind
+//! its submission.
+
+use laurelstile_types::time::{Span, Timestamp};
+
+use super::LeasedGateway;
+use crate::leased::task::JobId;
+
+/// A longer interval between flushes means that the process was suspended, since it is woken
+/// at least every 500 ms. Shorter pauses are harmless: callers that disconnect do not resubmit
+/// within this time.
+const SUSPENSION_THRESHOLD: Span = Span::from_millis(700);
+/// How long placement is delayed after a suspension. Callers may have disconnected and
+/// resubmitted or cancelled their jobs elsewhere. The time has to suffice to read the socket
+/// backlog even on a fraction of a core.
+const BACKLOG_READ_TIME: Span = Span::from_millis(100);
+
+/// Suspension detection and the resulting delay of placement.
+#[derive(Debug, Default)]
+pub struct ProcessSuspension {
+    last_flush: Timestamp,
+    /// End of the delay after a suspension; in the past if there was none.
+    backlog_read_until: Timestamp,
+}
+
+impl ProcessSuspension {
+    /// Whether placement is delayed until the backlog has been read.
+    pub fn is_reading_backlog(&self, now: Timestamp) -> bool {
+        now < self.backlog_read_until
+    }
+
+    /// End of the delay after a suspension; in the past if there was none.
+    pub fn backlog_read_until(&self) -> Timestamp {
+        self.backlog_read_until
+    }
+}
+
+impl LeasedGateway {
+    /// Records that the process is running, and delays the placement of all jobs after a
+    /// suspension.
+    pub(super) fn detect_suspension(&mut self, now: Timestamp) {
+        let last_flush = std::mem::replace(&mut self.suspension.last_flush, now);
+        if now.since(last_flush) <= SUSPENSION_THRESHOLD {
+            return;
+        }
+        self.suspension.backlog_read_until = now.after(BACKLOG_READ_TIME);
+        let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
+        for id in jobs {
+            self.delay_placement(id, self.suspension.backlog_read_until);
+        }
+    }
+}
