--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -195,7 +195,7 @@
         rig.register(at(millis), "life-1", cpu(resources), false);
     }
     let records: Vec<(u32, bool)> = rig
-        .remembered
+        .stored_records
         .iter()
         .map(|record| (record.registration.capacity.cpu_millis, record.is_vital))
         .collect();
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -386,7 +386,7 @@
     rig.message(at(90), batch);
     assert!(rig.take_starts().is_empty());
     assert_eq!(rig.last_report().map(|report| report.limit), Some(0));
-    rig.orders
+    rig.commands
         .retain(|order: &WorkerCommand| !matches!(order.kind, CommandKind::Watch { .. }));
     let done = [(1, run(1, 0)), (2, run(1, 1))];
     let done = done.map(|(number, id)| {
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -25,7 +25,7 @@
         Ok(RunLists::default()),
     );
     let next = rig
-        .orders
+        .commands
         .back()
         .expect("the next incarnation is queried at once");
     assert_eq!(next.incarnation, incarnation(SECOND_START));
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -51,7 +51,7 @@
     rig.register(at(20), "life-2", cpu(8_000), false);
     rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
-    let order = rig.orders.back().expect("a watch of the new incarnation");
+    let order = rig.commands.back().expect("a watch of the new incarnation");
     assert_eq!(order.incarnation, "life-2".into());
 }
 
@@ -76,11 +76,11 @@
     assert!(rig.ends().is_empty(), "the leases have not expired yet");
     rig.tick(at(1_200));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
-    rig.orders.clear();
+    rig.commands.clear();
     rig.tick(at(1_201));
     rig.tick(at(1_300));
     let ids: Vec<&str> = rig
-        .orders
+        .commands
         .iter()
         .map(|order| &*order.incarnation.id)
         .collect();
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -163,7 +163,7 @@
             },
         );
     }
-    rig.orders.clear();
+    rig.commands.clear();
     let batch = rig.batch(2, 1, 0);
     rig.message(at(33), batch);
     let latest = rig.leases().into_iter().max().expect("a lease");
@@ -250,7 +250,7 @@
 fn the_record_names_the_current_incarnation() {
     let mut rig = restarted();
     rig.heartbeat(at(700), heartbeat_of(SECOND_START, 200, 4_000, true));
-    let last = rig.remembered.last().expect("a record");
+    let last = rig.stored_records.last().expect("a record");
     assert_eq!(last.registration.incarnation, incarnation(SECOND_START));
     assert!(last.registration.draining && last.is_vital);
 }
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -29,13 +29,13 @@
     /// The agent under test.
     pub machine: LeasedAgent,
     /// Commands to the worker that have not been answered.
-    pub orders: VecDeque<WorkerCommand>,
+    pub commands: VecDeque<WorkerCommand>,
     /// Messages sent to gateways, in order.
     pub sent: Vec<(SessionId, FromAgent)>,
     /// Sessions that the agent closed, in order.
     pub closed: Vec<SessionId>,
     /// Records of the worker that the agent stored for its successor, in order.
-    pub remembered: Vec<IncarnationRecord>,
+    pub stored_records: Vec<IncarnationRecord>,
     /// Ids whose deregistrations were answered, in order.
     pub deregistrations: Vec<String>,
     /// The worker incarnation in whose name commands are answered.
@@ -100,10 +100,10 @@
         };
         let mut rig = Self {
             machine: LeasedAgent::new(options),
-            orders: VecDeque::new(),
+            commands: VecDeque::new(),
             sent: Vec::new(),
             closed: Vec::new(),
-            remembered: Vec::new(),
+            stored_records: Vec::new(),
             deregistrations: Vec::new(),
             incarnation: "life-1".into(),
             decisions: Vec::new(),
@@ -179,10 +179,10 @@
         self.machine.flush(now, &mut effects);
         for effect in effects {
             match effect {
-                AgentEffect::Command(order) => self.orders.push_back(order),
+                AgentEffect::Command(command) => self.commands.push_back(command),
                 AgentEffect::Send { session, message } => self.sent.push((session, message)),
                 AgentEffect::Close(session) => self.closed.push(session),
-                AgentEffect::StoreRecord(known) => self.remembered.push(known),
+                AgentEffect::StoreRecord(known) => self.stored_records.push(known),
                 AgentEffect::AnswerDeregistration(id) => self.deregistrations.push(id.to_string()),
                 AgentEffect::Decided(decision) => self.decisions.push(decision),
                 AgentEffect::Stopped => self.stopped = true,
@@ -236,7 +236,7 @@
 
     /// Fencing token of the latest command.
     pub fn last_token(&self) -> Option<u64> {
-        self.orders.back().map(|order| order.token.0)
+        self.commands.back().map(|command| command.token.0)
     }
 
     /// The gateway sends a message with a fresh echo.
@@ -326,21 +326,24 @@
 
     /// The leases in the unanswered commands, which stay in the queue.
     pub fn leases(&self) -> Vec<WorkerClock> {
-        let leases = self.orders.iter().filter_map(|order| match &order.kind {
-            CommandKind::Start { lease_until, .. } => Some(*lease_until),
-            CommandKind::Watch { lease_until, .. } => *lease_until,
-            CommandKind::Stop { .. } => None,
-        });
+        let leases = self
+            .commands
+            .iter()
+            .filter_map(|command| match &command.kind {
+                CommandKind::Start { lease_until, .. } => Some(*lease_until),
+                CommandKind::Watch { lease_until, .. } => *lease_until,
+                CommandKind::Stop { .. } => None,
+            });
         leases.collect()
     }
 
     fn take<T>(&mut self, pick: impl Fn(&CommandKind) -> Option<T>) -> Vec<T> {
-        let orders = std::mem::take(&mut self.orders);
+        let commands = std::mem::take(&mut self.commands);
         let mut taken = Vec::new();
-        for order in orders {
-            match pick(&order.kind) {
+        for command in commands {
+            match pick(&command.kind) {
                 Some(item) => taken.push(item),
-                None => self.orders.push_back(order),
+                None => self.commands.push_back(command),
             }
         }
         taken
