--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -89,7 +89,7 @@
 /// A worker's lists of running and ended runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunLists {
-    /// Running runs, with their progress in percent.
+    /// Runs in progress, with their progress in percent.
     pub running: Vec<(RunId, u32)>,
     /// Ended runs that the agent has not acknowledged yet.
     pub ended: Vec<WorkerEnd>,
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -1,4 +1,4 @@
-//! The agent of a leased worker: starts, stops, run lists, planned shutdown and recovery.
+//! The agent of a leased worker: starts, stops, run lists, graceful shutdown and recovery.
 
 mod leased_support;
 
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -115,7 +115,7 @@
             &mut effects,
         );
         recorded.extend(effects.into_iter().filter_map(|effect| match effect {
-            AgentEffect::StoreRecord(known) => Some(known.registration.incarnation),
+            AgentEffect::StoreRecord(record) => Some(record.registration.incarnation),
             _ => None,
         }));
     }
