--- a/laurelstiled/src/leased/traffic_log.rs
+++ b/laurelstiled/src/leased/traffic_log.rs
@@ -1,4 +1,4 @@
-//! A line each second of what the sessions of this process have carried.
+//! Logs once a second the messages and bytes that the sessions of this process have carried.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -6,28 +6,29 @@
 use laurelstile_wire::traffic::{self, Direction, MessageCounts};
 use tokio::time::MissedTickBehavior;
 
-/// Pause between two lines.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Writes the lines until the process ends.
-pub async fn write() {
-    let mut ticks = tokio::time::interval(PERIOD);
+/// Logs the traffic of each interval; never returns.
+pub async fn run() {
+    let mut ticks = tokio::time::interval(LOG_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let tallies = traffic::take();
-        if !tallies.is_empty() {
-            let sent = line_of(&tallies, Direction::Sent);
-            let received = line_of(&tallies, Direction::Received);
+        let counts = traffic::take();
+        if !counts.is_empty() {
+            let sent = format_counts(&counts, Direction::Sent);
+            let received = format_counts(&counts, Direction::Received);
             log::info!(event = "traffic", sent = sent.as_str(), received = received.as_str(); "");
         }
     }
 }
 
-/// Kind, messages and bytes of one direction: `start:12:4380 stop:1:52`.
-fn line_of(tallies: &MessageCounts, wanted: Direction) -> String {
+/// Formats the counts of one direction as `kind:messages:bytes`, such as
+/// `start:12:4380 stop:1:52`.
+fn format_counts(counts: &MessageCounts, wanted: Direction) -> String {
     let mut line = String::new();
-    for ((direction, kind), tally) in tallies {
+    for ((direction, kind), count) in counts {
         if *direction != wanted {
             continue;
         }
@@ -35,7 +36,7 @@
             line.push(' ');
         }
         // Writing to a string cannot fail.
-        let _ = write!(line, "{kind}:{}:{}", tally.messages, tally.bytes);
+        let _ = write!(line, "{kind}:{}:{}", count.messages, count.bytes);
     }
     line
 }
