--- a/laurelstile-core/src/agent/record.rs
+++ b/laurelstile-core/src/agent/record.rs
@@ -1,5 +1,5 @@
-//! What an agent remembers of submissions: which tasks it started, their
-//! outputs until they are released, and fences against old delegations.
+//! Per-submission records of an agent: started tasks, outputs retained until
+//! they are released, and fences against superseded delegations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,26 @@
 use laurelstile_types::id::{DelegationNumber, DispatchId, Incarnation, SubmissionId, TaskIndex};
 use laurelstile_types::time::{Span, Timestamp};
 
-use crate::messages::agent::{Fate, Fence, TaskOutcome};
+use crate::messages::agent::{DispatchStatus, Fence, TaskOutcome};
 
-/// How long a fence is kept. It outlasts every deadline, so that no start
-/// under an older delegation can come after it.
+/// How long a fence is kept. Must exceed every job deadline, so that no start
+/// under a superseded delegation can arrive after the fence is gone.
 pub const FENCE_LIFETIME: Span = Span::from_millis(MAX_DEADLINE_MILLIS + 120_000);
-/// How long a record without a fence is kept past its job's deadline. No
-/// gateway starts or recovers a task of the job so late.
-pub const RECORD_SLACK: Span = Span::from_secs(60);
+/// How long a record without a fence is kept past its job's deadline, after
+/// which no gateway starts or recovers a task of the job.
+pub const RECORD_RETENTION: Span = Span::from_secs(60);
 
-/// Most bytes of outputs that are kept for gateways that may ask again.
-pub const KEPT_OUTPUT_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum total size of retained outputs, in bytes.
+pub const MAX_RETAINED_OUTPUT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Whether a dispatch may start, as far as the records tell.
+/// Result of checking a dispatch against the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartVerdict {
-    /// It was not started before.
+pub enum StartCheck {
+    /// The task has not been started.
     New,
-    /// Its delegation is too old, or the submission is over.
+    /// The delegation is superseded, or the submission is closed.
     Fenced,
-    /// Its task was started before.
+    /// The task was started before.
     Duplicate,
 }
 
@@ -39,20 +39,21 @@
 #[derive(Debug)]
 struct Task {
     delegation: DelegationNumber,
-    /// Gateway that gets the result.
+    /// Gateway that receives the result.
     owner: Incarnation,
     state: TaskState,
 }
 
 #[derive(Debug)]
 struct Record {
-    /// Least delegation that may start tasks.
+    /// Minimum delegation number that may start tasks; 0 if never fenced.
     fence: DelegationNumber,
-    /// Whether the submission is over.
+    /// Whether the submission was released after it had been fenced; none of its
+    /// tasks may start any more.
     closed: bool,
-    /// Whether to forget the submission once nothing of it runs.
+    /// Whether to remove the record once none of its tasks is running.
     released: bool,
-    /// Deadline of the job, as far as starts have told.
+    /// Latest job deadline given by a start.
     deadline: Timestamp,
     expires: Timestamp,
     tasks: BTreeMap<TaskIndex, Task>,
@@ -63,53 +64,50 @@
 pub struct Records {
     records: BTreeMap<SubmissionId, Record>,
     running: BTreeMap<Incarnation, u32>,
-    kept_bytes: usize,
+    retained_bytes: usize,
 }
 
 impl Records {
-    /// Number of submissions remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tasks that run now.
     pub fn running(&self) -> u32 {
         self.running.values().sum()
     }
 
-    /// Running tasks whose results go to `gateway`.
-    pub fn work_of(&self, gateway: Incarnation) -> u32 {
+    /// Number of running tasks whose results go to `gateway`.
+    pub fn running_for(&self, gateway: Incarnation) -> u32 {
         self.running.get(&gateway).copied().unwrap_or(0)
     }
 
-    /// Whether tasks of `gateway` run.
-    pub fn has_work_of(&self, gateway: Incarnation) -> bool {
-        self.work_of(gateway) > 0
+    pub fn has_running_for(&self, gateway: Incarnation) -> bool {
+        self.running_for(gateway) > 0
     }
 
-    /// Whether a task runs, or a gateway may still ask for an output.
-    pub fn are_needed(&self, now: Timestamp) -> bool {
+    /// Whether a task is running, or a gateway may still request an output.
+    pub fn has_unreleased_work(&self, now: Timestamp) -> bool {
         self.records.values().any(|record| {
-            let is_kept = !record.tasks.is_empty() && now < record.deadline;
-            is_kept || record.running() > 0
+            let is_retained = !record.tasks.is_empty() && now < record.deadline;
+            is_retained || record.running() > 0
         })
     }
 
-    /// Whether `dispatch` may start.
-    pub fn verdict(&self, dispatch: DispatchId) -> StartVerdict {
+    /// Checks whether the records allow `dispatch` to start.
+    pub fn check_start(&self, dispatch: DispatchId) -> StartCheck {
         let Some(record) = self.records.get(&dispatch.submission) else {
-            return StartVerdict::New;
+            return StartCheck::New;
         };
         if record.closed || dispatch.delegation < record.fence {
-            return StartVerdict::Fenced;
+            return StartCheck::Fenced;
         }
         if record.tasks.contains_key(&dispatch.task) {
-            return StartVerdict::Duplicate;
+            return StartCheck::Duplicate;
         }
-        StartVerdict::New
+        StartCheck::New
     }
 
-    /// Notes that `dispatch` starts for `gateway`.
+    /// Records that `dispatch` was started for `gateway`.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -128,11 +126,12 @@
         };
         record.tasks.insert(dispatch.task, task);
         record.deadline = record.deadline.max(deadline);
-        record.expires = record.expires.max(deadline.after(RECORD_SLACK));
+        record.expires = record.expires.max(deadline.after(RECORD_RETENTION));
         *self.running.entry(gateway).or_default() += 1;
     }
 
-    /// The gateway that waits for `dispatch`, if it runs.
+    /// The gateway that receives the result of `dispatch`; `None` if it is not
+    /// running.
     pub fn owner_of_running(&self, dispatch: DispatchId) -> Option<Incarnation> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
@@ -140,7 +139,8 @@
         running.then_some(task.owner)
     }
 
-    /// Notes that a running task has ended; gives its run time.
+    /// Records the outcome of a running task and returns its run time. The
+    /// output is discarded if retained outputs would exceed their limit.
     pub fn finish(&mut self, now: Timestamp, dispatch: DispatchId, outcome: TaskOutcome) -> Span {
         let Some(record) = self.records.get_mut(&dispatch.submission) else {
             return Span::default();
@@ -154,51 +154,54 @@
         };
         let run = now.since(since);
         let size = output_size(&outcome);
-        let keep = self.kept_bytes + size <= KEPT_OUTPUT_BYTES;
-        let kept = if keep {
+        let fits = self.retained_bytes + size <= MAX_RETAINED_OUTPUT_BYTES;
+        let retained = if fits {
             outcome
         } else {
             TaskOutcome::OutputLost
         };
-        self.kept_bytes += output_size(&kept);
-        task.state = TaskState::Finished { run, outcome: kept };
-        one_less(&mut self.running, owner);
-        self.forget_released(dispatch.submission);
+        self.retained_bytes += output_size(&retained);
+        task.state = TaskState::Finished {
+            run,
+            outcome: retained,
+        };
+        decrement_running(&mut self.running, owner);
+        self.remove_released(dispatch.submission);
         run
     }
 
-    /// Forgets a task that was never started after all.
-    pub fn forget_task(&mut self, dispatch: DispatchId) {
+    /// Removes a task that turned out not to have started.
+    pub fn remove_task(&mut self, dispatch: DispatchId) {
         let Some(record) = self.records.get_mut(&dispatch.submission) else {
             return;
         };
         if let Some(task) = record.tasks.remove(&dispatch.task) {
-            one_less(&mut self.running, task.owner);
+            decrement_running(&mut self.running, task.owner);
         }
     }
 
-    /// What became of `dispatch`; `None` if it was never received.
-    pub fn fate_of(&self, dispatch: DispatchId) -> Option<Fate> {
+    /// Status of `dispatch`; `None` if it was never received.
+    pub fn status_of(&self, dispatch: DispatchId) -> Option<DispatchStatus> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
-        (task.delegation == dispatch.delegation).then(|| task.fate())
+        (task.delegation == dispatch.delegation).then(|| task.status())
     }
 
-    /// Every task that was started of `submission`.
-    pub fn fates_of(&self, submission: SubmissionId) -> Vec<(TaskIndex, Fate)> {
+    /// Status of every started task of `submission`.
+    pub fn statuses_of(&self, submission: SubmissionId) -> Vec<(TaskIndex, DispatchStatus)> {
         self.records
             .get(&submission)
             .map_or_else(Vec::new, |record| {
                 record
                     .tasks
                     .iter()
-                    .map(|(index, task)| (*index, task.fate()))
+                    .map(|(index, task)| (*index, task.status()))
                     .collect()
             })
     }
 
     /// Refuses older delegations from now on and makes `gateway` the owner of
-    /// what was started. Gives the owners before that still had tasks running.
+    /// all started tasks. Returns the previous owners of running tasks.
     pub fn fence(
         &mut self,
         now: Timestamp,
@@ -215,15 +218,15 @@
         for task in record.tasks.values_mut() {
             let old_owner = std::mem::replace(&mut task.owner, gateway);
             if old_owner != gateway && task.is_running() {
-                move_one(&mut self.running, old_owner, gateway);
+                transfer_running(&mut self.running, old_owner, gateway);
                 old_owners.insert(old_owner);
             }
         }
         old_owners
     }
 
-    /// Ends the running tasks of `submission` that `gateway` owns; gives their
-    /// dispatches.
+    /// Marks the running tasks of `submission` owned by `gateway` as cancelled
+    /// and returns their dispatches.
     pub fn cancel(&mut self, submission: SubmissionId, gateway: Incarnation) -> Vec<DispatchId> {
         let Some(record) = self.records.get_mut(&submission) else {
             return Vec::new();
@@ -237,35 +240,35 @@
                 run: Span::default(),
                 outcome: TaskOutcome::Cancelled,
             };
-            one_less(&mut self.running, gateway);
+            decrement_running(&mut self.running, gateway);
             cancelled.push(DispatchId {
                 submission,
                 task: *index,
                 delegation: task.delegation,
             });
         }
-        self.forget_released(submission);
+        self.remove_released(submission);
         cancelled
     }
 
-    /// Forgets a submission whose answer is out, at once or when nothing of
-    /// it runs any more. One that was ever fenced stays closed until it
-    /// expires, since an older delegation may still have an unaware holder.
+    /// Removes the record of an answered submission as soon as none of its
+    /// tasks is running. A fenced record stays closed until it expires, since
+    /// a superseded scheduler may still send starts.
     pub fn release(&mut self, submission: SubmissionId) {
         if let Some(record) = self.records.get_mut(&submission) {
             record.released = true;
         }
-        self.forget_released(submission);
+        self.remove_released(submission);
     }
 
-    fn forget_released(&mut self, submission: SubmissionId) {
+    fn remove_released(&mut self, submission: SubmissionId) {
         let Some(record) = self.records.get_mut(&submission) else {
             return;
         };
         if !record.released || record.running() > 0 {
             return;
         }
-        self.kept_bytes -= record.kept_bytes();
+        self.retained_bytes -= record.retained_bytes();
         if record.fence > 0 {
             record.closed = true;
             record.tasks.clear();
@@ -274,17 +277,17 @@
         }
     }
 
-    /// Forgets records that have outlived every deadline.
+    /// Removes expired records that have no running tasks.
     pub fn expire(&mut self, now: Timestamp) {
         let mut freed = 0;
         self.records.retain(|_, record| {
             let keep = record.expires > now || record.running() > 0;
             if !keep {
-                freed += record.kept_bytes();
+                freed += record.retained_bytes();
             }
             keep
         });
-        self.kept_bytes -= freed;
+        self.retained_bytes -= freed;
     }
 }
 
@@ -305,7 +308,7 @@
         u32::try_from(running).unwrap_or(u32::MAX)
     }
 
-    fn kept_bytes(&self) -> usize {
+    fn retained_bytes(&self) -> usize {
         self.tasks
             .values()
             .map(|task| match &task.state {
@@ -321,10 +324,10 @@
         matches!(self.state, TaskState::Running { .. })
     }
 
-    fn fate(&self) -> Fate {
+    fn status(&self) -> DispatchStatus {
         match &self.state {
-            TaskState::Running { .. } => Fate::Running,
-            TaskState::Finished { run, outcome } => Fate::Finished {
+            TaskState::Running { .. } => DispatchStatus::Running,
+            TaskState::Finished { run, outcome } => DispatchStatus::Finished {
                 run_micros: run.0,
                 outcome: outcome.clone(),
             },
@@ -339,7 +342,7 @@
     }
 }
 
-fn one_less(running: &mut BTreeMap<Incarnation, u32>, owner: Incarnation) {
+fn decrement_running(running: &mut BTreeMap<Incarnation, u32>, owner: Incarnation) {
     if let Some(count) = running.get_mut(&owner) {
         *count -= 1;
         if *count == 0 {
@@ -348,7 +351,7 @@
     }
 }
 
-fn move_one(running: &mut BTreeMap<Incarnation, u32>, from: Incarnation, to: Incarnation) {
-    one_less(running, from);
+fn transfer_running(running: &mut BTreeMap<Incarnation, u32>, from: Incarnation, to: Incarnation) {
+    decrement_running(running, from);
     *running.entry(to).or_default() += 1;
 }
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery of submissions whose scheduler was lost: the agents say what they
-//! started and refuse the lost delegation from then on; what none of them
-//! started goes to the next scheduler.
+//! Recovery of submissions whose scheduler was lost. The agents report which
+//! tasks they started and refuse further starts of the lost delegation; the
+//! remaining tasks are delegated to another scheduler.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use super::links::{Link, LinkIndex};
 use super::submission::{Phase, Submission};
 use super::{Gateway, GatewayEffect};
-use crate::messages::agent::{Fate, Fence, Recovered, TaskOutcome};
+use crate::messages::agent::{DispatchStatus, Fence, Recovered, TaskOutcome};
 use crate::messages::peer::DelegationKey;
 
 impl Gateway {
@@ -28,25 +28,25 @@
         if submission.key() != lost {
             return;
         }
-        // The fence is the next delegation's number.
+        // Only the next delegation may start tasks.
         let fence = Fence {
             submission: submission.id,
             delegation: submission.delegation + 1,
         };
-        let asked: BTreeSet<LinkIndex> = self
+        let agents: BTreeSet<LinkIndex> = self
             .links
             .iter()
             .filter(|(_, link)| may_have_tasks(link, submission))
             .map(|(index, _)| index)
             .collect();
-        submission.phase = Phase::Recovering(asked.clone());
-        for index in asked {
-            self.links.get_mut(index).recover.push(fence);
+        submission.phase = Phase::Recovering(agents.clone());
+        for index in agents {
+            self.links.get_mut(index).pending_fences.push(fence);
         }
         self.finish_recovery(now, number, effects);
     }
 
-    /// An agent says what it started of a submission.
+    /// Handles an agent's report of the tasks that it started.
     pub(super) fn on_recovered(
         &mut self,
         now: Timestamp,
@@ -55,34 +55,34 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let number = recovered.fence.submission.number;
-        let started = self.links.get(index).incarnation_started;
+        let started = self.links.get(index).incarnation_started_at;
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
-        let current = submission.id == recovered.fence.submission;
-        if !current {
+        let is_current = submission.id == recovered.fence.submission;
+        if !is_current {
             return;
         }
-        submission.fenced_at.insert(index);
-        // An incarnation younger than the submission cannot speak for the
-        // one before it.
-        submission.unaccounted |= started > submission.accepted;
+        submission.fenced_on.insert(index);
+        // An incarnation younger than the submission does not know what its
+        // predecessor started.
+        submission.starts_unknown |= started > submission.accepted_at;
         let mut failed = None;
-        for (task, fate) in recovered.tasks {
-            match fate {
-                Fate::Running => {
-                    submission.running_at.insert(task, index);
+        for (task, status) in recovered.tasks {
+            match status {
+                DispatchStatus::Running => {
+                    submission.running_on.insert(task, index);
                 }
-                Fate::Finished {
+                DispatchStatus::Finished {
                     outcome: TaskOutcome::Output(output),
                     ..
-                } => submission.put(task, output),
-                Fate::Finished {
+                } => submission.set_output(task, output),
+                DispatchStatus::Finished {
                     outcome: TaskOutcome::Failed,
                     ..
                 } => failed = Some(Reason::TaskFailed),
-                Fate::Finished { .. } => failed = Some(Reason::WorkerLost),
-                Fate::NeverReceived => {}
+                DispatchStatus::Finished { .. } => failed = Some(Reason::WorkerLost),
+                DispatchStatus::NeverReceived => {}
             }
         }
         if let Phase::Recovering(awaited) = &mut submission.phase {
@@ -96,7 +96,7 @@
         self.answer_if_complete(now, number, effects);
     }
 
-    /// Goes on once every agent has answered.
+    /// Continues once all agents have reported.
     fn finish_recovery(&mut self, now: Timestamp, number: u64, effects: &mut Vec<GatewayEffect>) {
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
@@ -107,11 +107,11 @@
         if !awaited.is_empty() {
             return;
         }
-        if submission.missing().is_empty() {
+        if submission.missing_tasks().is_empty() {
             submission.phase = Phase::Collecting;
             return;
         }
-        if submission.unaccounted {
+        if submission.starts_unknown {
             let failure = Failure::may_have_run(Reason::WorkerLost);
             self.answer(now, number, Err(failure), effects);
             return;
@@ -119,13 +119,13 @@
         self.delegate(now, number, effects);
     }
 
-    /// After a new session to an agent: asks again what it has of the
-    /// submissions that wait for its word.
-    pub(super) fn recover_again(&mut self, index: LinkIndex) {
+    /// Repeats the recovery requests to an agent after a new session, for
+    /// submissions that depend on its report.
+    pub(super) fn requeue_recovery(&mut self, index: LinkIndex) {
         let fences: Vec<Fence> = self
             .submissions
             .values()
-            .filter(|submission| waits_for(submission, index))
+            .filter(|submission| awaits_agent(submission, index))
             .map(|submission| Fence {
                 submission: submission.id,
                 delegation: match submission.phase {
@@ -134,10 +134,11 @@
                 },
             })
             .collect();
-        self.links.get_mut(index).recover = fences;
+        self.links.get_mut(index).pending_fences = fences;
     }
 
-    /// An agent's incarnation is gone: nothing can be learned of what it had.
+    /// Handles the loss of an agent's incarnation: the outcome of its tasks
+    /// cannot be determined.
     pub(super) fn on_agent_lost(
         &mut self,
         now: Timestamp,
@@ -148,15 +149,15 @@
         let affected: Vec<u64> = self
             .submissions
             .iter()
-            .filter(|(_, submission)| waits_for(submission, index))
+            .filter(|(_, submission)| awaits_agent(submission, index))
             .map(|(number, _)| *number)
             .collect();
         for number in affected {
             let Some(submission) = self.submissions.get_mut(&number) else {
                 continue;
             };
-            submission.unaccounted = true;
-            if submission.running_at.values().any(|at| *at == index) {
+            submission.starts_unknown = true;
+            if submission.running_on.values().any(|agent| *agent == index) {
                 let failure = Failure::may_have_run(Reason::WorkerLost);
                 self.answer(now, number, Err(failure), effects);
                 continue;
@@ -173,14 +174,14 @@
 fn may_have_tasks(link: &Link, submission: &Submission) -> bool {
     let gone_before = link
         .listed_gone_since
-        .is_some_and(|since| since < submission.accepted);
+        .is_some_and(|since| since < submission.accepted_at);
     link.pool == submission.pool && !(gone_before && link.session.is_none())
 }
 
-fn waits_for(submission: &Submission, index: LinkIndex) -> bool {
+fn awaits_agent(submission: &Submission, index: LinkIndex) -> bool {
     let awaited = match &submission.phase {
         Phase::Recovering(awaited) => awaited.contains(&index),
         _ => false,
     };
-    awaited || submission.running_at.values().any(|at| *at == index)
+    awaited || submission.running_on.values().any(|agent| *agent == index)
 }
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -1,40 +1,41 @@
-//! The deregistration of a worker: it ends once that is answered.
+//! Deregistration of a worker. The worker exits once its deregistration is answered.
 
 use std::sync::Arc;
 
 use laurelstile_types::time::{Span, Timestamp};
 
-use super::lease::lease_over_at;
-use super::ledger::StopReason;
-use super::life::Life;
-use super::{AgentDecision, AgentEffect, LeasedAgent, LifeEnd};
+use super::lease::lease_expired_at;
+use super::run_table::StopReason;
+use super::worker_state::WorkerState;
+use super::{AgentDecision, AgentEffect, IncarnationEnd, LeasedAgent};
 
-/// How long the answer to a deregistration is held back until what runs there has been stopped. The
-/// worker takes an answer within a second for an answer.
-const DEREGISTRATION_PATIENCE: Span = Span::from_millis(800);
+/// Longest time that the answer to a deregistration is delayed while runs are stopped. The
+/// worker waits for an answer for one second.
+const DEREGISTRATION_ANSWER_TIMEOUT: Span = Span::from_millis(800);
 
-/// A deregistration under the id of the worker's present life.
+/// A deregistration received under the id of the worker's current incarnation.
 #[derive(Clone, Copy, Debug)]
 pub struct Deregistration {
     since: Timestamp,
     is_answered: bool,
-    /// Whether it is this life's. It names the id alone, and may be a late one of the life
-    /// before: a worker that leaves says that it drains first.
+    /// Whether the current incarnation sent it. A deregistration carries only the worker id, so
+    /// it may be a delayed one from the previous incarnation; a worker that shuts down announces
+    /// that it is draining first.
     is_confirmed: bool,
 }
 
 impl Deregistration {
-    /// When the lease of its life is over, which is renewed no more.
-    fn lease_over(&self, renewed: Timestamp) -> Timestamp {
-        lease_over_at(renewed.max(self.since))
+    /// When the lease of the deregistered incarnation has expired; it is not renewed any more.
+    fn expires_at(&self, renewed: Timestamp) -> Timestamp {
+        lease_expired_at(renewed.max(self.since))
     }
 
-    /// When it is answered at the latest, unless it has been.
+    /// Deadline for the answer; `None` once it is answered.
     fn answer_due(&self) -> Option<Timestamp> {
-        (!self.is_answered).then(|| self.since.after(DEREGISTRATION_PATIENCE))
+        (!self.is_answered).then(|| self.since.after(DEREGISTRATION_ANSWER_TIMEOUT))
     }
 
-    /// Answers it, unless it has been.
+    /// Answers the deregistration unless that has been done.
     pub fn answer(&mut self, id: &Arc<str>, effects: &mut Vec<AgentEffect>) {
         if !std::mem::replace(&mut self.is_answered, true) {
             effects.push(AgentEffect::AnswerDeregistration(Arc::clone(id)));
@@ -42,8 +43,8 @@
     }
 }
 
-impl Life {
-    /// Whether it has said that it ends.
+impl WorkerState {
+    /// Whether a deregistration of this incarnation is confirmed.
     pub fn has_deregistered(&self) -> bool {
         let deregistration = self.deregistration.as_ref();
         deregistration.is_some_and(|deregistration| deregistration.is_confirmed)
@@ -51,26 +52,30 @@
 }
 
 impl LeasedAgent {
-    /// The worker says that it ends. Its process is still up, and what runs there runs on until it
-    /// is gone: told as lost at once, tasks were at work on two workers for up to 50 ms (seconds
-    /// where the answer got lost). So its runs are stopped, their leases renewed no more, and
-    /// the deregistration is answered when their ends are proved.
+    /// Handles a deregistration. The worker's process is still up and its runs continue until it
+    /// exits. Reporting them as lost at once would let the same task run on two workers, so the
+    /// runs are stopped, their leases are not renewed, and the deregistration is answered once
+    /// all of them are known to have ended.
     ///
-    /// If the life has not said that it drains, nothing starts there until its next heartbeat
-    /// tells whose word this was.
+    /// If the incarnation has not announced that it is draining, nothing starts there until its
+    /// next heartbeat shows whether the deregistration came from it.
     pub(super) fn on_deregistration(
         &mut self,
         now: Timestamp,
         id: &Arc<str>,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(life) = self.life.as_mut().filter(|life| life.name.id == *id) else {
+        let Some(worker) = self
+            .worker
+            .as_mut()
+            .filter(|worker| worker.incarnation.id == *id)
+        else {
             effects.push(AgentEffect::AnswerDeregistration(Arc::clone(id)));
-            self.past_lives.note_deregistered_id(now, id);
+            self.past_incarnations.record_deregistered_id(now, id);
             return;
         };
-        let is_confirmed = life.draining || !life.name.may_restart();
-        life.deregistration.get_or_insert(Deregistration {
+        let is_confirmed = worker.draining || !worker.incarnation.may_restart();
+        worker.deregistration.get_or_insert(Deregistration {
             since: now,
             is_answered: false,
             is_confirmed,
@@ -80,36 +85,36 @@
         }
     }
 
-    /// The present life leaves: what runs there is stopped.
+    /// Stops all runs of the current incarnation, which is about to exit.
     fn confirm_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        if let Some(deregistration) = &mut life.deregistration {
+        if let Some(deregistration) = &mut worker.deregistration {
             deregistration.is_confirmed = true;
         }
-        life.watch_from = now;
-        if !life.draining {
-            life.draining = true;
-            self.remember(now, effects);
+        worker.watch_from = now;
+        if !worker.draining {
+            worker.draining = true;
+            self.persist_record(now, effects);
         }
-        for task in self.ledger.tasks_where(|_| true) {
+        for task in self.runs.tasks_where(|_| true) {
             self.stop_run(now, task, StopReason::WorkerLeaves, effects);
         }
     }
 
-    /// The present life says, in a heartbeat that is not late, whether it drains: so it tells whose
-    /// a deregistration was that came before.
-    pub(super) fn judge_deregistration(
+    /// Uses the draining flag of an in-order heartbeat to decide whether a pending
+    /// deregistration came from the current incarnation.
+    pub(super) fn resolve_deregistration(
         &mut self,
         now: Timestamp,
         is_draining: bool,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let Some(deregistration) = &mut life.deregistration else {
+        let Some(deregistration) = &mut worker.deregistration else {
             return;
         };
         if deregistration.is_confirmed {
@@ -119,43 +124,43 @@
             self.confirm_deregistration(now, effects);
             return;
         }
-        deregistration.answer(&life.name.id, effects);
-        life.deregistration = None;
-        let life = life.name.clone();
+        deregistration.answer(&worker.incarnation.id, effects);
+        worker.deregistration = None;
+        let incarnation = worker.incarnation.clone();
         effects.push(AgentEffect::Decided(AgentDecision::LateDeregistration {
-            life,
+            incarnation,
         }));
     }
 
-    /// Answers a deregistration, and ends the life, once nothing runs there.
+    /// Answers the deregistration and ends the incarnation once nothing runs there.
     pub(super) fn finish_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return;
         };
-        let Some(deregistration) = &mut life.deregistration else {
+        let Some(deregistration) = &mut worker.deregistration else {
             return;
         };
-        let has_lapsed = now >= deregistration.lease_over(life.renewed);
-        let is_listed_empty = life.has_synced && life.foreign.is_empty();
-        let is_empty = self.ledger.is_empty() && (is_listed_empty || has_lapsed);
+        let has_expired = now >= deregistration.expires_at(worker.renewed);
+        let is_listed_empty = worker.has_synced && worker.orphans.is_empty();
+        let is_empty = self.runs.is_empty() && (is_listed_empty || has_expired);
         let is_over = deregistration.is_confirmed && is_empty;
         let is_due = deregistration.answer_due().is_some_and(|due| now >= due);
         if !is_over && !is_due {
             return;
         }
-        deregistration.answer(&life.name.id, effects);
+        deregistration.answer(&worker.incarnation.id, effects);
         if is_over {
-            let name = life.name.clone();
-            self.on_life_over(now, &name, LifeEnd::Deregistered, effects);
+            let incarnation = worker.incarnation.clone();
+            self.on_incarnation_ended(now, &incarnation, IncarnationEnd::Deregistered, effects);
         }
     }
 
-    /// When [`Self::finish_deregistration`] has something to do, if nothing happens before.
+    /// When [`Self::finish_deregistration`] is next due without further events.
     pub(super) fn deregistration_wakeup(&self) -> Option<Timestamp> {
-        let life = self.life.as_ref()?;
-        let deregistration = life.deregistration?;
-        let lapse = deregistration.lease_over(life.renewed);
-        let lapse = deregistration.is_confirmed.then_some(lapse);
-        deregistration.answer_due().into_iter().chain(lapse).min()
+        let worker = self.worker.as_ref()?;
+        let deregistration = worker.deregistration?;
+        let expiry = deregistration.expires_at(worker.renewed);
+        let expiry = deregistration.is_confirmed.then_some(expiry);
+        deregistration.answer_due().into_iter().chain(expiry).min()
     }
 }
--- /dev/null
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -0,0 +1,273 @@
+//! Heartbeats of the worker: which incarnation is current, and which heartbeats are out of date.
+
+use laurelstile_types::time::{Span, Timestamp};
+
+use super::super::worker_incarnation::StartTime;
+use super::worker::Registration;
+use super::worker_state::WorkerState;
+use super::{
+    AgentDecision, AgentEffect, HeartbeatIgnoreReason, IncarnationEnd, IncarnationSource,
+    LeasedAgent,
+};
+
+/// An incarnation that registered while another was current.
+#[derive(Debug)]
+pub struct SuccessorCandidate {
+    pub(super) registration: Registration,
+    /// When it first registered.
+    pub(super) since: Timestamp,
+}
+
+impl LeasedAgent {
+    pub(super) fn on_registered(
+        &mut self,
+        now: Timestamp,
+        registration: Registration,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        if let Some(reason) = self.ignore_reason(now, &registration) {
+            ignore_heartbeat(registration, reason, effects);
+        } else if self.is_current(&registration.incarnation) {
+            self.apply_heartbeat(now, registration, effects);
+        } else if self.worker.is_some() {
+            self.set_successor(now, registration);
+        } else {
+            self.start_registered_incarnation(now, registration, effects);
+        }
+    }
+
+    /// Why a heartbeat is ignored; `None` if it is used. A heartbeat of an ended incarnation is
+    /// ignored only while another one is current; otherwise the incarnation was wrongly taken
+    /// for ended.
+    fn ignore_reason(
+        &self,
+        now: Timestamp,
+        registration: &Registration,
+    ) -> Option<HeartbeatIgnoreReason> {
+        let incarnation = &registration.incarnation;
+        if self.past_incarnations.is_leaving(now, incarnation) {
+            return Some(HeartbeatIgnoreReason::DeregisteredIncarnation);
+        }
+        let worker = self.worker.as_ref()?;
+        if worker.incarnation == *incarnation {
+            let is_other = worker.service != registration.service;
+            let is_held = now.since(worker.service_confirmed_at) <= self.service_retention();
+            return (is_other && is_held).then_some(HeartbeatIgnoreReason::OtherService);
+        }
+        if worker.incarnation.id == incarnation.id && incarnation.started_at.is_none() {
+            return Some(HeartbeatIgnoreReason::NoStartTime);
+        }
+        let has_ended = self.past_incarnations.contains(incarnation);
+        has_ended.then_some(HeartbeatIgnoreReason::EndedIncarnation)
+    }
+
+    /// How long the service named by a heartbeat takes precedence over a different one: two
+    /// heartbeat intervals, so that the worker prevails over another sender that uses its id. A
+    /// restarted worker is expected to serve the same service as before.
+    fn service_retention(&self) -> Span {
+        Span(self.options.heartbeats.interval.0 * 2)
+    }
+
+    /// Applies a heartbeat of the current incarnation.
+    fn apply_heartbeat(
+        &mut self,
+        now: Timestamp,
+        registration: Registration,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        worker.clock.update(now, registration.clock);
+        worker.service_confirmed_at = now;
+        let is_first = worker.source == IncarnationSource::Lists;
+        if is_first {
+            worker.source = IncarnationSource::Heartbeat;
+            worker.labels.clone_from(&registration.labels);
+            worker.least_capacity = registration.capacity;
+        }
+        let is_late = registration.sequence < worker.sequence;
+        let has_other_service = worker.service != registration.service;
+        worker.service.clone_from(&registration.service);
+        let begins_to_drain = registration.draining && !worker.draining;
+        if begins_to_drain {
+            worker.draining = true;
+            let incarnation = worker.incarnation.clone();
+            effects.push(AgentEffect::Decided(AgentDecision::Draining {
+                incarnation,
+            }));
+        }
+        let has_shrunk = !is_late && self.apply_capacity(&registration, effects);
+        if !is_late {
+            let times = self.options.heartbeats;
+            self.capacity_freshness.on_heartbeat(now, times);
+            self.resolve_deregistration(now, registration.draining, effects);
+        }
+        if is_first || has_other_service {
+            self.invalidate_snapshots();
+        }
+        if is_first || has_other_service || begins_to_drain || has_shrunk {
+            self.persist_record(now, effects);
+        }
+    }
+
+    /// Applies the capacity in a heartbeat that is not out of order. Runs continue, but nothing
+    /// starts beyond the new capacity, and gateways get a new snapshot. Returns whether the
+    /// incarnation has never had so little.
+    fn apply_capacity(
+        &mut self,
+        registration: &Registration,
+        effects: &mut Vec<AgentEffect>,
+    ) -> bool {
+        let Some(worker) = &mut self.worker else {
+            return false;
+        };
+        worker.sequence = registration.sequence;
+        let capacity = registration.capacity;
+        if capacity == worker.capacity {
+            return false;
+        }
+        effects.push(AgentEffect::Decided(AgentDecision::CapacityChanged {
+            incarnation: worker.incarnation.clone(),
+            before: worker.capacity,
+            now: capacity,
+        }));
+        worker.capacity = capacity;
+        let least = capacity.min(worker.least_capacity);
+        let has_shrunk = least != worker.least_capacity;
+        worker.least_capacity = least;
+        worker.has_shrunk |= has_shrunk;
+        self.invalidate_snapshots();
+        has_shrunk
+    }
+
+    /// Records that another incarnation has registered. Either the current one is over, or this
+    /// is a delayed heartbeat of an earlier one. The heartbeat cannot tell, but the worker can:
+    /// it rejects commands for another id, and its run lists carry its start time. So the worker
+    /// is queried before any run of the current incarnation is given up.
+    fn set_successor(&mut self, now: Timestamp, registration: Registration) {
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        let previous = worker.successor.take();
+        let previous = previous
+            .filter(|previous| previous.registration.incarnation == registration.incarnation);
+        let was_draining = previous
+            .as_ref()
+            .is_some_and(|previous| previous.registration.draining);
+        let draining = registration.draining || was_draining;
+        worker.successor = Some(SuccessorCandidate {
+            registration: Registration {
+                draining,
+                ..registration
+            },
+            since: previous.map_or(now, |previous| previous.since),
+        });
+        worker.watch_from = now;
+    }
+
+    /// Discards a successor that registered before `queried_at`: the current incarnation has
+    /// answered a watch sent at that time, so the other one has ended.
+    pub(super) fn dismiss_successor(
+        &mut self,
+        queried_at: Timestamp,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        let Some(worker) = &mut self.worker else {
+            return;
+        };
+        let is_earlier = |successor: &mut SuccessorCandidate| successor.since < queried_at;
+        let Some(successor) = worker.successor.take_if(is_earlier) else {
+            return;
+        };
+        let late = successor.registration.incarnation;
+        effects.push(AgentEffect::Decided(AgentDecision::LateHeartbeat {
+            incarnation: late.clone(),
+            current: worker.incarnation.clone(),
+        }));
+        self.past_incarnations.record_ended(late);
+    }
+
+    /// Ends the current incarnation, whose leases have expired, if another one has registered.
+    pub(super) fn replace_expired_incarnation(
+        &mut self,
+        now: Timestamp,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        let replaced = self
+            .worker
+            .as_ref()
+            .filter(|worker| worker.successor.is_some());
+        if let Some(incarnation) = replaced.map(|worker| worker.incarnation.clone()) {
+            self.on_incarnation_ended(now, &incarnation, IncarnationEnd::Replaced, effects);
+        }
+    }
+
+    /// Starts the incarnation in the record of an earlier agent, without waiting for its next
+    /// heartbeat. The clock reading in the record is old.
+    pub(super) fn on_record(
+        &mut self,
+        now: Timestamp,
+        registration: Registration,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        if self.worker.is_none() && !self.past_incarnations.contains(&registration.incarnation) {
+            self.start_incarnation(now, registration, IncarnationSource::Record, effects);
+        }
+    }
+
+    /// Handles a gateway's report of how long ago it heard an earlier agent of this worker. The
+    /// record dates from that agent.
+    pub(super) fn on_predecessor(&mut self, now: Timestamp, silence: Span) {
+        let is_unheard = |worker: &WorkerState| worker.source == IncarnationSource::Lists;
+        if !self.worker.as_ref().is_some_and(is_unheard) {
+            let times = self.options.heartbeats;
+            self.capacity_freshness.on_predecessor(now, silence, times);
+        }
+    }
+}
+
+impl WorkerState {
+    /// Whether a restart of the worker under the same id has registered, and it is not yet known
+    /// which of the two incarnations is current.
+    pub(super) fn has_possible_restart(&self) -> bool {
+        let successor = self.successor.as_ref();
+        successor
+            .is_some_and(|successor| successor.registration.incarnation.id == self.incarnation.id)
+    }
+
+    /// The start time of the process that answered a watch sent at `queried_at`, if it is a
+    /// different incarnation under the same id. If this incarnation has no start time, a
+    /// heartbeat must have carried the answered one. If the answer carries none, the incarnation
+    /// with the later start time is taken to be current.
+    pub(super) fn detected_restart(
+        &self,
+        queried_at: Timestamp,
+        answered: Option<StartTime>,
+    ) -> Option<StartTime> {
+        if self.incarnation.is_other_incarnation(answered) {
+            return answered;
+        }
+        let successor = self.successor.as_ref()?;
+        let registered = successor.registration.incarnation.started_at;
+        let has_restarted = match answered {
+            Some(_) => registered == answered && registered != self.incarnation.started_at,
+            None => successor.since < queried_at && registered > self.incarnation.started_at,
+        };
+        registered.filter(|_| has_restarted && self.has_possible_restart())
+    }
+}
+
+/// Logs that the contents of a heartbeat are ignored.
+fn ignore_heartbeat(
+    registration: Registration,
+    reason: HeartbeatIgnoreReason,
+    effects: &mut Vec<AgentEffect>,
+) {
+    effects.push(AgentEffect::Decided(AgentDecision::HeartbeatIgnored {
+        incarnation: registration.incarnation,
+        reason,
+        draining: registration.draining,
+        sequence: registration.sequence,
+    }));
+}
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -1,39 +1,40 @@
-//! The worker's lease: one for all that runs there, renewed by starts and watches.
+//! The worker's lease. It covers all runs of the worker and is renewed by starts and watches.
 
 use laurelstile_types::time::{Span, Timestamp};
 
 use super::super::timing::{LEASE_DURATION, MAX_LEASE_DURATION, MAX_STOP_TIME, OWNER_TIMEOUT};
 use super::LeasedAgent;
-use super::ledger::{Run, RunState};
-use super::life::Life;
+use super::run_table::{Run, RunState};
 use super::worker::WorkerClock;
+use super::worker_state::WorkerState;
 
-/// When everything is over at a worker whose lease was last renewed at `renewed`.
-pub fn lease_over_at(renewed: Timestamp) -> Timestamp {
+/// When every run has ended at a worker whose lease was last renewed at `renewed`.
+pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
     renewed.after(Span(MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0 + 1))
 }
 
 impl LeasedAgent {
-    /// Renews the lease at `now`: its end, on the worker's clock.
+    /// Renews the lease and returns its end on the worker's clock.
     pub(super) fn renew(&mut self, now: Timestamp) -> WorkerClock {
         let renewed = now.min(self.renewable_until());
-        let Some(life) = &mut self.life else {
+        let Some(worker) = &mut self.worker else {
             return WorkerClock::default();
         };
-        life.renewed = life.renewed.max(renewed);
-        life.lease_until(renewed)
+        worker.renewed = worker.renewed.max(renewed);
+        worker.lease_until(renewed)
     }
 
-    /// Until when the lease may be renewed: for as long as somebody answers for every run.
+    /// Latest time that the lease may be renewed from: as long as every run has a gateway that
+    /// answers for it.
     ///
-    /// A run whose stop is not proved holds it back for all others, since a worker may answer
-    /// its watches and none of its stops: its gateway would hold the run for over after
-    /// [`super::super::timing::AGENT_EXPIRY`] while the others' renewals kept it alive.
-    /// A stop takes 50 ms of the 700 ms that a lease lasts, so the others notice nothing.
+    /// A run that is being stopped holds back the renewal for all others: a worker may answer
+    /// watches but no stops, and the run's gateway considers the run over after
+    /// [`super::super::timing::AGENT_EXPIRY`], while a renewed lease would keep it alive.
+    /// A stop usually completes long before the lease expires, so other runs are not affected.
     fn renewable_until(&self) -> Timestamp {
-        let runs = self.ledger.iter().map(|(_, run)| run);
+        let runs = self.runs.iter().map(|(_, run)| run);
         let ends = runs
-            .filter(|run| run.takes_room())
+            .filter(|run| run.takes_resources())
             .map(|run| self.answered_for_until(run));
         ends.min().unwrap_or(Timestamp(u64::MAX))
     }
@@ -49,17 +50,17 @@
         ends.min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    /// Notes whether a stop takes so long that the lease may run out over it: nothing more is
-    /// started there until it is proved.
-    pub(super) fn note_overdue_stops(&mut self, now: Timestamp) {
-        let mut runs = self.ledger.iter();
+    /// Checks for a stop that takes so long that the lease may expire meanwhile. Nothing starts
+    /// until such a stop is confirmed.
+    pub(super) fn check_overdue_stops(&mut self, now: Timestamp) {
+        let mut runs = self.runs.iter();
         self.has_overdue_stop = runs.any(|(_, run)| run.is_stop_overdue(now));
     }
 }
 
-impl Life {
+impl WorkerState {
     /// End of a lease that is renewed at `now`.
     fn lease_until(&self, now: Timestamp) -> WorkerClock {
-        WorkerClock(self.clock.at_least(now).0 + LEASE_DURATION.as_millis())
+        WorkerClock(self.clock.lower_bound(now).0 + LEASE_DURATION.as_millis())
     }
 }
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -1,29 +1,29 @@
-//! The agent beside a leased worker. It alone gives the worker orders, so it
-//! alone decides what starts; it renews the leases of what runs, and ends what
-//! nobody answers for.
+//! The agent of a leased worker. Only the agent sends commands to its worker, so it alone
+//! decides what starts there. It renews the worker's leases and stops runs whose gateway is
+//! gone.
 
-mod crash_memory;
+mod capacity_freshness;
+mod crash_history;
 mod deregistration;
 pub mod events;
 mod health;
+mod heartbeats;
+mod incarnation_end;
 mod lease;
-mod ledger;
-mod life;
-mod life_end;
-mod lives;
 mod offers;
 mod outgoing;
 mod owner;
-mod past_lives;
+mod past_incarnations;
 mod progress;
 pub mod proof;
-mod room_knowledge;
+mod run_table;
 mod sessions;
-mod silence;
 mod starting;
 mod stopping;
+mod timeouts;
 mod watching;
 pub mod worker;
+mod worker_state;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,90 +36,90 @@
 use super::resources::Resources;
 use super::task::{RunId, TaskId};
 use crate::session::SessionId;
-use crash_memory::CrashMemory;
+use capacity_freshness::CapacityFreshness;
+pub use capacity_freshness::HeartbeatTiming;
+use crash_history::CrashHistory;
 pub use events::{
-    AgentDecision, AgentEffect, AgentEvent, IgnoredHeartbeat, LifeEnd, LifeSource, LostRun, Order,
-    OrderAnswer, OrderKind, WatchAnswer,
+    AgentDecision, AgentEffect, AgentEvent, CommandAnswer, CommandKind, HeartbeatIgnoreReason,
+    IncarnationEnd, IncarnationSource, LostRun, WatchAnswer, WorkerCommand,
 };
 use health::{FinishedRun, Health};
-use ledger::{Ledger, RunState};
-use life::{Life, LifeNumber};
 use owner::Owner;
-use past_lives::PastLives;
+use past_incarnations::PastIncarnations;
 use proof::EndProof;
-pub use room_knowledge::HeartbeatTimes;
-use room_knowledge::RoomKnowledge;
+use run_table::{RunState, RunTable};
 use worker::FenceToken;
+use worker_state::{IncarnationNumber, WorkerState};
 
-/// Settings of an agent's machine.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
     /// Zone of the worker.
     pub zone: String,
-    /// How long a planned stop may wait for runs.
-    pub stop_patience: Span,
-    /// How the worker's word about itself ages.
-    pub heartbeats: HeartbeatTimes,
-    /// Tokens of orders are above this: the time of day at which the agent started, in
-    /// milliseconds.
+    /// How long a graceful shutdown waits for runs to end.
+    pub shutdown_timeout: Span,
+    /// Timing of the worker's heartbeats, which decides how long its reported capacity is valid.
+    pub heartbeats: HeartbeatTiming,
+    /// Lower bound of the fencing tokens, exclusive: the wall-clock time of the agent's start,
+    /// in milliseconds.
     pub token_floor: FenceToken,
 }
 
-/// The agent's machine.
+/// State machine of an agent.
 #[derive(Debug)]
 pub struct LeasedAgent {
     options: AgentOptions,
-    life: Option<Life>,
-    /// Number of the present life, or of the last.
-    life_number: LifeNumber,
-    /// Token of the present life, or of the last.
+    worker: Option<WorkerState>,
+    /// Number of the current incarnation, or of the latest one if there is none.
+    incarnation_number: IncarnationNumber,
+    /// Fencing token of the current incarnation, or of the latest one if there is none.
     token: FenceToken,
-    past_lives: PastLives,
-    /// Id of the life whose end has left starts that may yet be carried out.
-    held_id: Option<Arc<str>>,
-    ledger: Ledger,
+    past_incarnations: PastIncarnations,
+    /// Worker id whose next incarnation may still carry out held starts.
+    held_worker_id: Option<Arc<str>>,
+    runs: RunTable,
     health: Health,
-    crash_memory: CrashMemory,
-    /// Until when the room of the present life may be relied on.
-    room_knowledge: RoomKnowledge,
-    /// Whether a stop of a run takes longer than a stop may.
+    crash_history: CrashHistory,
+    /// How long the reported capacity of the current incarnation is valid.
+    capacity_freshness: CapacityFreshness,
+    /// Whether any stop takes longer than it may.
     has_overdue_stop: bool,
     evacuations: Evacuations,
     owners: BTreeMap<Incarnation, Owner>,
     sessions: BTreeMap<SessionId, Incarnation>,
     stopping_since: Option<Timestamp>,
-    stop_reported: bool,
+    has_reported_stop: bool,
     last_flush: Timestamp,
-    /// Since when the agent has run without standing still.
-    awake_since: Timestamp,
+    /// Since when the agent has run without being suspended.
+    running_since: Timestamp,
 }
 
 impl LeasedAgent {
-    /// An agent that has not heard of its worker.
+    /// An agent that has not heard from its worker.
     pub fn new(options: AgentOptions) -> Self {
         Self {
             token: options.token_floor,
             options,
-            life: None,
-            life_number: LifeNumber::default(),
-            past_lives: PastLives::default(),
-            held_id: None,
-            ledger: Ledger::default(),
+            worker: None,
+            incarnation_number: IncarnationNumber::default(),
+            past_incarnations: PastIncarnations::default(),
+            held_worker_id: None,
+            runs: RunTable::default(),
             health: Health::default(),
-            crash_memory: CrashMemory::default(),
-            room_knowledge: RoomKnowledge::default(),
+            crash_history: CrashHistory::default(),
+            capacity_freshness: CapacityFreshness::default(),
             has_overdue_stop: false,
             evacuations: Evacuations::default(),
             owners: BTreeMap::new(),
             sessions: BTreeMap::new(),
             stopping_since: None,
-            stop_reported: false,
+            has_reported_stop: false,
             last_flush: Timestamp::default(),
-            awake_since: Timestamp::default(),
+            running_since: Timestamp::default(),
         }
     }
 
-    /// Takes in one event. Call [`LeasedAgent::flush`] after a batch of events.
+    /// Handles one event. Call [`LeasedAgent::flush`] after a batch of events.
     pub fn handle(&mut self, now: Timestamp, event: AgentEvent, effects: &mut Vec<AgentEffect>) {
         match event {
             AgentEvent::Opened { session, gateway } => {
@@ -131,15 +131,26 @@
                 self.on_message(now, session, message, effects);
             }
             AgentEvent::Registered(registration) => self.on_registered(now, registration, effects),
-            AgentEvent::Recalled(registration) => self.on_recalled(now, registration, effects),
+            AgentEvent::RecordLoaded(registration) => self.on_record(now, registration, effects),
             AgentEvent::Deregistration { id } => self.on_deregistration(now, &id, effects),
-            AgentEvent::StartAnswered { run, life, answer } => {
-                self.on_start_answered(now, run, &life, answer, effects);
+            AgentEvent::StartAnswered {
+                run,
+                incarnation,
+                answer,
+            } => {
+                self.on_start_answered(now, run, &incarnation, answer, effects);
             }
-            AgentEvent::StopAnswered { run, life, answer } => {
-                self.on_stop_answered(now, run, &life, answer, effects);
+            AgentEvent::StopAnswered {
+                run,
+                incarnation,
+                answer,
+            } => {
+                self.on_stop_answered(now, run, &incarnation, answer, effects);
             }
-            AgentEvent::Watched { life, answer } => self.on_watched(now, &life, answer, effects),
+            AgentEvent::Watched {
+                incarnation,
+                answer,
+            } => self.on_watched(now, &incarnation, answer, effects),
             AgentEvent::Stop => {
                 self.stopping_since.get_or_insert(now);
             }
@@ -147,58 +158,59 @@
         }
     }
 
-    /// Does what the events since the last flush, or time, gave rise to.
+    /// Performs all actions that became due through events or the passing of time.
     pub fn flush(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
-        self.note_awake(now);
-        self.note_overdue_stops(now);
-        self.tell_aged_room(now, effects);
-        self.end_silent_owners(now, effects);
+        self.detect_suspension(now);
+        self.check_overdue_stops(now);
+        self.log_stale_capacity(now, effects);
+        self.stop_runs_of_silent_owners(now, effects);
         self.close_silent_sessions(now, effects);
-        self.end_lapsed(now, effects);
+        self.end_expired_runs(now, effects);
         self.finish_deregistration(now, effects);
         self.start_waiting(now, effects);
-        self.end_waits(now, effects);
-        self.offer_room(now, effects);
-        self.repeat_stops(now, effects);
+        self.return_waiting(now, effects);
+        self.offer_resources(now, effects);
+        self.retry_stops(now, effects);
         self.watch(now, effects);
         self.finish_stop(now, effects);
         self.send_all(now, effects);
     }
 
-    /// Runs that have not ended.
+    /// Number of runs that have not ended.
     pub fn run_count(&self) -> usize {
-        self.ledger.len()
+        self.runs.len()
     }
 
-    /// Room that runs take at the worker.
-    pub fn taken_room(&self) -> Resources {
-        self.ledger.taken()
+    /// Resources that runs take at the worker.
+    pub fn taken_resources(&self) -> Resources {
+        self.runs.taken()
     }
 
-    /// Whether the worker may be given tasks, apart from its room.
+    /// Whether the worker accepts tasks, regardless of its free resources.
     pub fn is_available(&self, now: Timestamp) -> bool {
-        let Some(life) = &self.life else {
+        let Some(worker) = &self.worker else {
             return false;
         };
         self.stopping_since.is_none()
             && !self.is_evacuated()
             && !self.has_overdue_stop
-            && self.room_knowledge.is_good(now)
-            && !life.is_leaving()
-            && !life.has_namesake()
-            && life.has_synced
-            && life.foreign.is_empty()
-            && life.unanswered_watches == 0
+            && self.capacity_freshness.is_fresh(now)
+            && !worker.is_leaving()
+            && !worker.has_possible_restart()
+            && worker.has_synced
+            && worker.orphans.is_empty()
+            && worker.unanswered_watches == 0
     }
 
-    /// Whether the worker's zone is evacuated, as far as any gateway has told.
+    /// Whether the worker's zone is evacuated, according to the latest revision received from
+    /// any gateway.
     pub fn is_evacuated(&self) -> bool {
         self.evacuations.covers(&self.options.zone)
     }
 
-    fn on_evacuations(&mut self, news: Evacuations, effects: &mut Vec<AgentEffect>) {
+    fn on_evacuations(&mut self, update: Evacuations, effects: &mut Vec<AgentEffect>) {
         let was_evacuated = self.is_evacuated();
-        self.evacuations.update(news);
+        self.evacuations.update(update);
         let is_evacuated = self.is_evacuated();
         if is_evacuated != was_evacuated {
             effects.push(AgentEffect::Decided(AgentDecision::Evacuated {
@@ -208,7 +220,7 @@
         }
     }
 
-    /// Takes a run out: nothing of it runs any more.
+    /// Removes a run of which nothing executes any more, and reports its end to its gateway.
     fn end_run(
         &mut self,
         now: Timestamp,
@@ -217,7 +229,7 @@
         proof: EndProof,
         effects: &mut Vec<AgentEffect>,
     ) {
-        let Some(run) = self.ledger.remove(task) else {
+        let Some(run) = self.runs.remove(task) else {
             return;
         };
         let id = RunId {
@@ -234,25 +246,26 @@
         if let Some(owner) = self.owners.get_mut(&run.owner) {
             owner.push_end(id, how);
         }
-        if let (EndKind::Done, RunState::Running { .. }, Some(life)) = (how, run.state, &self.life)
+        if let (EndKind::Done, RunState::Running { .. }, Some(worker)) =
+            (how, run.state, &self.worker)
         {
             let finished = FinishedRun {
                 job: task.job,
                 sent: run.sent,
-                elapsed: life.clock.at(now).since(run.started),
+                elapsed: worker.clock.at(now).since(run.started),
                 estimate: run.estimate,
             };
             self.health.on_done(now, &finished);
         }
     }
 
-    fn order(&mut self, kind: OrderKind, effects: &mut Vec<AgentEffect>) {
-        let Some(life) = &self.life else {
+    fn send_command(&mut self, kind: CommandKind, effects: &mut Vec<AgentEffect>) {
+        let Some(worker) = &self.worker else {
             return;
         };
-        effects.push(AgentEffect::Order(Order {
-            life: life.name.clone(),
-            token: life.token,
+        effects.push(AgentEffect::Command(WorkerCommand {
+            incarnation: worker.incarnation.clone(),
+            token: worker.token,
             kind,
         }));
     }
--- /dev/null
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -0,0 +1,209 @@
+//! State of the worker's current incarnation.
+
+use std::collections::BTreeMap;
+
+use laurelstile_types::time::Timestamp;
+
+use super::super::crashes::CrashedTask;
+use super::super::resources::Resources;
+use super::super::task::RunId;
+use super::super::worker_incarnation::WorkerIncarnation;
+use super::capacity_freshness::CapacityFreshness;
+use super::deregistration::Deregistration;
+use super::health::Health;
+use super::heartbeats::SuccessorCandidate;
+use super::worker::{ClockEstimate, FenceToken, IncarnationRecord, Registration, WorkerClock};
+use super::{AgentDecision, AgentEffect, IncarnationSource, LeasedAgent};
+
+/// Number of an incarnation, counted by the agent. Each run is marked with the number of the
+/// incarnation that its start was sent to, because two incarnations may have the same id.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct IncarnationNumber(u64);
+
+/// The worker's current incarnation.
+#[derive(Debug)]
+pub struct WorkerState {
+    pub incarnation: WorkerIncarnation,
+    pub number: IncarnationNumber,
+    /// How the agent learned of it.
+    pub source: IncarnationSource,
+    pub service: String,
+    /// When a heartbeat last named this service.
+    pub service_confirmed_at: Timestamp,
+    /// Latest reported capacity.
+    pub capacity: Resources,
+    /// Smallest capacity reported so far.
+    pub least_capacity: Resources,
+    /// Whether the capacity has been smaller than first reported.
+    pub has_shrunk: bool,
+    /// Sequence number of the latest heartbeat.
+    pub sequence: u64,
+    pub labels: Vec<String>,
+    /// Fencing token of commands to this incarnation.
+    pub token: FenceToken,
+    /// Number of commands rejected as fenced.
+    pub fenced: u32,
+    /// Whether it has announced its shutdown.
+    pub draining: bool,
+    pub clock: ClockEstimate,
+    /// Highest entry number of an ended run that was processed.
+    pub last_seen: u64,
+    /// Value of `last_seen` in the latest watch.
+    pub last_seen_sent: u64,
+    /// Highest `last_seen` that the worker is known to have received.
+    pub acknowledged: u64,
+    /// Whether this incarnation's run lists have been received since the last time that they
+    /// were in doubt.
+    pub has_synced: bool,
+    /// Whether taking control of it has been logged.
+    pub has_logged_control: bool,
+    /// Consecutive watches without an answer.
+    pub unanswered_watches: u32,
+    /// When the pending watch was sent; `None` if none is pending.
+    pub watching: Option<Timestamp>,
+    /// Earliest time of the next watch.
+    pub watch_from: Timestamp,
+    /// Time from which the lease was last renewed.
+    pub renewed: Timestamp,
+    /// Runs at the worker that the agent does not know, with the time when a stop was last sent.
+    pub orphans: BTreeMap<RunId, Timestamp>,
+    /// Whether a watch is wanted, to acknowledge ended runs or to check that the worker is
+    /// alive.
+    pub wants_watch: bool,
+    /// Started tasks whose lease expired while the worker was silent. The worker has either
+    /// crashed or is unreachable.
+    pub expired_tasks: Vec<CrashedTask>,
+    /// Another incarnation that has registered since.
+    pub successor: Option<SuccessorCandidate>,
+    /// A pending deregistration under its id.
+    pub deregistration: Option<Deregistration>,
+}
+
+impl WorkerState {
+    /// Whether it is about to exit. Its process may stop listening and continue to run for a
+    /// while.
+    pub fn is_leaving(&self) -> bool {
+        self.draining || self.deregistration.is_some()
+    }
+
+    /// The record that the next agent reads at start.
+    pub fn record(&self, now: Timestamp) -> IncarnationRecord {
+        let registration = Registration {
+            incarnation: self.incarnation.clone(),
+            service: self.service.clone(),
+            capacity: self.least_capacity,
+            labels: self.labels.clone(),
+            clock: self.clock.at(now),
+            draining: self.draining,
+            sequence: self.sequence,
+        };
+        IncarnationRecord {
+            registration,
+            is_vital: self.draining || self.has_shrunk,
+        }
+    }
+}
+
+impl LeasedAgent {
+    /// Starts an incarnation that the worker itself has registered.
+    pub(super) fn start_registered_incarnation(
+        &mut self,
+        now: Timestamp,
+        registration: Registration,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        self.start_incarnation(now, registration, IncarnationSource::Heartbeat, effects);
+        let times = self.options.heartbeats;
+        self.capacity_freshness.on_heartbeat(now, times);
+        self.persist_record(now, effects);
+    }
+
+    /// Starts an incarnation. Runs that were sent to the previous one remain in the run table
+    /// until the new incarnation's run lists show what became of them.
+    pub(super) fn start_incarnation(
+        &mut self,
+        now: Timestamp,
+        registration: Registration,
+        source: IncarnationSource,
+        effects: &mut Vec<AgentEffect>,
+    ) {
+        self.past_incarnations.forget(&registration.incarnation);
+        self.incarnation_number.0 += 1;
+        self.token = FenceToken(self.token.0 + 1);
+        if source == IncarnationSource::Lists {
+            self.capacity_freshness = CapacityFreshness::default();
+        }
+        effects.push(AgentEffect::Decided(AgentDecision::IncarnationStarted {
+            incarnation: registration.incarnation.clone(),
+            source,
+            draining: registration.draining,
+        }));
+        let mut clock = ClockEstimate::default();
+        clock.update(now, registration.clock);
+        self.worker = Some(WorkerState {
+            incarnation: registration.incarnation,
+            number: self.incarnation_number,
+            source,
+            service: registration.service,
+            service_confirmed_at: now,
+            capacity: registration.capacity,
+            least_capacity: registration.capacity,
+            has_shrunk: false,
+            sequence: registration.sequence,
+            labels: registration.labels,
+            token: self.token,
+            fenced: 0,
+            draining: registration.draining,
+            clock,
+            last_seen: 0,
+            last_seen_sent: 0,
+            acknowledged: 0,
+            has_synced: false,
+            has_logged_control: false,
+            unanswered_watches: 0,
+            watching: None,
+            watch_from: now,
+            renewed: now,
+            orphans: BTreeMap::new(),
+            wants_watch: false,
+            expired_tasks: Vec::new(),
+            successor: None,
+            deregistration: None,
+        });
+        self.health = Health::default();
+        self.invalidate_snapshots();
+        self.stop_held_starts(now);
+    }
+
+    /// Has the worker's snapshot sent to all gateways again.
+    pub(super) fn invalidate_snapshots(&mut self) {
+        for owner in self.owners.values_mut() {
+            owner.has_snapshot = false;
+        }
+    }
+
+    /// Stores a record of the current incarnation for the next agent.
+    pub(super) fn persist_record(&self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
+        if let Some(worker) = &self.worker {
+            effects.push(AgentEffect::StoreRecord(worker.record(now)));
+        }
+    }
+
+    pub(super) fn is_current(&self, incarnation: &WorkerIncarnation) -> bool {
+        self.worker
+            .as_ref()
+            .is_some_and(|worker| worker.incarnation == *incarnation)
+    }
+
+    /// Total capacity of the worker; zero if no incarnation is known.
+    pub(super) fn capacity(&self) -> Resources {
+        let worker = self.worker.as_ref();
+        worker.map(|worker| worker.capacity).unwrap_or_default()
+    }
+
+    /// The worker's clock at `now`; zero if no incarnation is known.
+    pub(super) fn worker_clock(&self, now: Timestamp) -> WorkerClock {
+        let worker = self.worker.as_ref();
+        worker.map_or(WorkerClock::default(), |worker| worker.clock.at(now))
+    }
+}
--- a/laurelstile-core/src/messages/kinds.rs
+++ b/laurelstile-core/src/messages/kinds.rs
@@ -1,4 +1,4 @@
-//! Names of the messages, for counters.
+//! Message names used as labels of traffic counters.
 
 use super::agent::{FromAgent, FromAgentBody, ToAgent, ToAgentBody};
 use super::peer::{ToPeer, ToPeerBody};
@@ -41,7 +41,7 @@
             ToPeerBody::Done(_) => "done",
             ToPeerBody::Withdraw(_) => "withdraw",
             ToPeerBody::Outstanding(_) => "outstanding",
-            ToPeerBody::NotHere(_) => "not_here",
+            ToPeerBody::UnknownDelegations(_) => "not_here",
             ToPeerBody::Revision(_) => "revision",
             ToPeerBody::Leaving(_) => "leaving",
         }
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -1,6 +1,7 @@
-//! The agent's machine under random sequences of events, two gateways, cuts
-//! and recoveries among them: no task runs twice, slots are never exceeded,
-//! fences and drains are kept. The cases are the same in every run.
+//! Property tests of the agent's state machine: with random events of two
+//! gateways, including disconnects and recoveries, no task runs twice, slots
+//! are never exceeded, and fences and drains hold. The random generator has a
+//! fixed seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,8 +21,8 @@
 const CASES: u32 = 400;
 const STEPS: std::ops::Range<usize> = 1..120;
 
-/// One step of a sequence; gateways, submissions and tasks are few, so that
-/// steps meet.
+/// One step of a sequence. Gateways, submissions and tasks are few, so that
+/// steps interact.
 #[derive(Clone, Debug)]
 enum Step {
     Open {
@@ -50,7 +51,7 @@
         submission: u64,
     },
     Drain,
-    Pass {
+    Advance {
         millis: u64,
     },
 }
@@ -74,12 +75,12 @@
         1 => (gateway, submission)
             .prop_map(|(gateway, submission)| Step::Cancel { gateway, submission }),
         1 => Just(Step::Drain),
-        2 => (1..2_000_u64).prop_map(|millis| Step::Pass { millis }),
+        2 => (1..2_000_u64).prop_map(|millis| Step::Advance { millis }),
     ]
 }
 
-/// The agent beside what must be true of it.
-struct Model {
+/// The agent together with the expected state.
+struct AgentModel {
     agent: Agent,
     now: Timestamp,
     sessions: BTreeMap<u64, SessionId>,
@@ -90,7 +91,7 @@
     drained: bool,
 }
 
-impl Model {
+impl AgentModel {
     fn new() -> Self {
         Self {
             agent: Agent::new("w1".into()),
@@ -104,7 +105,7 @@
         }
     }
 
-    fn take(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Open { gateway } => self.open(gateway),
             Step::Close { gateway } => match self.sessions.remove(&gateway) {
@@ -119,7 +120,7 @@
             } => {
                 let start = StartTask {
                     dispatch: DispatchId {
-                        submission: id(submission),
+                        submission: submission_id(submission),
                         task,
                         delegation,
                     },
@@ -129,7 +130,7 @@
                     time_left: Span::from_secs(600),
                     input: Payload::from(Vec::new()),
                 };
-                self.tell(gateway, ToAgentBody::Start(vec![start]))
+                self.send(gateway, ToAgentBody::Start(vec![start]))
             }
             Step::Finish { index, reached } => self.finish(index, reached),
             Step::Recover {
@@ -138,27 +139,30 @@
                 delegation,
             } => {
                 if self.sessions.contains_key(&gateway) {
-                    let fence = self.fences.entry(id(submission)).or_default();
+                    let fence = self.fences.entry(submission_id(submission)).or_default();
                     *fence = (*fence).max(delegation);
                 }
                 let fence = Fence {
-                    submission: id(submission),
+                    submission: submission_id(submission),
                     delegation,
                 };
-                self.tell(gateway, ToAgentBody::Recover(vec![fence]))
+                self.send(gateway, ToAgentBody::Recover(vec![fence]))
             }
             Step::Cancel {
                 gateway,
                 submission,
-            } => self.tell(gateway, ToAgentBody::Cancel(vec![id(submission)])),
+            } => self.send(
+                gateway,
+                ToAgentBody::Cancel(vec![submission_id(submission)]),
+            ),
             Step::Drain => {
                 if let Some(gateway) = self.sessions.keys().next().copied() {
                     self.drained = true;
-                    return self.tell(gateway, ToAgentBody::Leaving);
+                    return self.send(gateway, ToAgentBody::Leaving);
                 }
                 Ok(())
             }
-            Step::Pass { millis } => {
+            Step::Advance { millis } => {
                 self.now = self.now.after(Span::from_millis(millis));
                 self.handle(AgentEvent::Tick)
             }
@@ -178,7 +182,7 @@
             slots: SLOTS,
             drained: false,
         };
-        self.tell(gateway, ToAgentBody::Membership(membership))
+        self.send(gateway, ToAgentBody::Membership(membership))
     }
 
     fn finish(&mut self, index: usize, reached: bool) -> Result<(), TestCaseError> {
@@ -189,14 +193,14 @@
         let end = if reached {
             RunEnd::Ended(TaskOutcome::Output(Payload::from(vec![1])))
         } else {
-            // Proof that it did not start: it may start again.
+            // The task did not start, so it may start again.
             self.started.remove(&(dispatch.submission, dispatch.task));
             RunEnd::NotStarted
         };
         self.handle(AgentEvent::Finished { dispatch, end })
     }
 
-    fn tell(&mut self, gateway: u64, body: ToAgentBody) -> Result<(), TestCaseError> {
+    fn send(&mut self, gateway: u64, body: ToAgentBody) -> Result<(), TestCaseError> {
         let Some(session) = self.sessions.get(&gateway).copied() else {
             return Ok(());
         };
@@ -221,27 +225,30 @@
                 _ => {}
             }
         }
-        let running = u32::try_from(self.running.len()).expect("few tasks");
+        let running = u32::try_from(self.running.len()).expect("task count fits in u32");
         prop_assert_eq!(self.agent.running(), running);
         Ok(())
     }
 
     fn check_run(&mut self, dispatch: DispatchId) -> Result<(), TestCaseError> {
         let task = (dispatch.submission, dispatch.task);
-        prop_assert!(self.started.insert(task), "{dispatch} runs twice");
+        prop_assert!(self.started.insert(task), "{dispatch} was started twice");
         let fence = self.fences.get(&dispatch.submission).copied().unwrap_or(0);
-        prop_assert!(dispatch.delegation >= fence, "{dispatch} is fenced");
-        prop_assert!(!self.drained, "{dispatch} runs on a drained agent");
+        prop_assert!(
+            dispatch.delegation >= fence,
+            "{dispatch} was started under a fenced delegation"
+        );
+        prop_assert!(!self.drained, "{dispatch} was started on a draining agent");
         prop_assert!(
             self.running.len() < SLOTS as usize,
-            "no slot for {dispatch}"
+            "{dispatch} was started without a free slot"
         );
         self.running.push(dispatch);
         Ok(())
     }
 }
 
-fn id(number: u64) -> SubmissionId {
+fn submission_id(number: u64) -> SubmissionId {
     SubmissionId {
         entry: Incarnation(9),
         number,
@@ -249,7 +256,7 @@
 }
 
 #[test]
-fn random_sequences_keep_the_agents_promises() {
+fn random_event_sequences_preserve_the_invariants() {
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -257,19 +264,19 @@
     };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
-    let runs = Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let counted = Arc::clone(&runs);
+    let started_total = Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let counter = Arc::clone(&started_total);
     runner
         .run(&prop::collection::vec(step(), STEPS), |steps| {
-            let mut model = Model::new();
+            let mut model = AgentModel::new();
             for step in steps {
-                model.take(step)?;
+                model.apply(step)?;
             }
             let started = model.started.len();
-            counted.fetch_add(started, std::sync::atomic::Ordering::Relaxed);
+            counter.fetch_add(started, std::sync::atomic::Ordering::Relaxed);
             Ok(())
         })
-        .expect("every sequence keeps the promises");
-    // The sequences do start tasks.
-    assert!(runs.load(std::sync::atomic::Ordering::Relaxed) > CASES as usize);
+        .expect("every sequence preserves the invariants");
+    // Guards against sequences that start no tasks.
+    assert!(started_total.load(std::sync::atomic::Ordering::Relaxed) > CASES as usize);
 }
--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -2,8 +2,8 @@
 
 mod leased_support;
 
-use laurelstile_core::leased::agent::worker::{OrderFailure, WorkerLists};
-use laurelstile_core::leased::agent::{AgentEvent, Order, OrderKind};
+use laurelstile_core::leased::agent::worker::{CommandError, RunLists};
+use laurelstile_core::leased::agent::{AgentEvent, CommandKind, WorkerCommand};
 use laurelstile_core::leased::crashes::{CrashLog, CrashedTask, Suspicion, WorkerCrash};
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent, Refusal};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, StartBatch, ToAgentBody, ToPeer};
@@ -342,7 +342,7 @@
         assert_eq!(reported[0].tasks.len(), 2);
         assert!(reported[0].tasks.iter().all(|crashed| !crashed.is_early));
     } else {
-        rig.answer_watch(at(1_300), WorkerLists::default());
+        rig.answer_watch(at(1_300), RunLists::default());
         rig.end_incarnation(at(1_400));
         assert!(
             reported_crashes(&rig, SESSION).0.is_empty(),
@@ -359,8 +359,8 @@
     rig.take_starts();
     let refused = AgentEvent::StartAnswered {
         run: run(2, 0),
-        life: "life-1".into(),
-        answer: Err(OrderFailure::LifeOver),
+        incarnation: "life-1".into(),
+        answer: Err(CommandError::IncarnationEnded),
     };
     rig.event(at(71), refused);
     let reported = reported_crashes(&rig, SESSION).0;
@@ -387,7 +387,7 @@
     assert!(rig.take_starts().is_empty());
     assert_eq!(rig.last_report().map(|report| report.limit), Some(0));
     rig.orders
-        .retain(|order: &Order| !matches!(order.kind, OrderKind::Watch { .. }));
+        .retain(|order: &WorkerCommand| !matches!(order.kind, CommandKind::Watch { .. }));
     let done = [(1, run(1, 0)), (2, run(1, 1))];
     let done = done.map(|(number, id)| {
         (
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -7,7 +7,7 @@
 mod leased_support;
 
 use laurelstile_core::leased::agent::AgentEvent;
-use laurelstile_core::leased::agent::worker::{OrderFailure, WorkerEndKind, WorkerLists};
+use laurelstile_core::leased::agent::worker::{CommandError, RunLists, WorkerEndKind};
 use laurelstile_core::leased::gateway::job::CallNumber;
 use laurelstile_core::leased::gateway::{Answer, GatewayEvent};
 use laurelstile_core::leased::messages::{EndKind, FromAgentBody, ToAgentBody, ToPeer};
@@ -88,7 +88,7 @@
     let mut rig = AgentRig::with_worker(cpu(1_000));
     rig.deregister(at(50));
     rig.register(at(60), "life-1", cpu(1_000), false);
-    rig.answer_watch(at(61), WorkerLists::default());
+    rig.answer_watch(at(61), RunLists::default());
     assert!(!rig.is_available());
     rig.register(at(70), "life-2", cpu(1_000), false);
     assert_eq!(
@@ -141,8 +141,8 @@
         at(20),
         AgentEvent::StopAnswered {
             run: runs[0],
-            life: "life-1".into(),
-            answer: Err(OrderFailure::Refused),
+            incarnation: "life-1".into(),
+            answer: Err(CommandError::ConnectionRefused),
         },
     );
     assert!(rig.ends().is_empty());
