--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -387,7 +387,7 @@
     assert!(rig.take_starts().is_empty());
     assert_eq!(rig.last_report().map(|report| report.limit), Some(0));
     rig.orders
-        .retain(|order: &WorkerCommand| !matches!(order.kind, CommandKind::Watch { .. }));
+        .retain(|command: &WorkerCommand| !matches!(command.kind, CommandKind::Watch { .. }));
     let done = [(1, run(1, 0)), (2, run(1, 1))];
     let done = done.map(|(number, id)| {
         (
