--- a/laurelstiled/src/leased/agent.rs
+++ b/laurelstiled/src/leased/agent.rs
@@ -79,8 +79,8 @@
     let token_floor = fence_token_floor();
     let options = AgentOptions {
         zone: settings.node.zone.0.clone(),
-        shutdown_timeout: role.stop_patience(),
-        heartbeats: role.heartbeat_times(),
+        shutdown_timeout: role.shutdown_timeout(),
+        heartbeats: role.heartbeat_timing(),
         token_floor,
     };
     let name = settings.node.name.clone();
@@ -270,7 +270,7 @@
                 self.links.send(session, message);
             }
             AgentEffect::Close(session) => self.links.on_closed(session),
-            AgentEffect::Command(order) => self.spawn_command(order),
+            AgentEffect::Command(command) => self.spawn_command(command),
             AgentEffect::Members(members) => self.links.add_members(self.clock.now(), members),
             AgentEffect::StoreRecord(known) => self.record_writer.schedule(known),
             AgentEffect::AnswerDeregistration(id) => self.answer_deregistration(&id),
@@ -280,10 +280,10 @@
     }
 
     /// Sends a command to the worker in a separate task; the answer becomes an input.
-    fn spawn_command(&self, order: WorkerCommand) {
+    fn spawn_command(&self, command: WorkerCommand) {
         let (worker, input) = (Arc::clone(&self.worker), self.input.clone());
         tokio::spawn(async move {
-            let event = send_command(worker.as_ref(), order).await;
+            let event = send_command(worker.as_ref(), command).await;
             let _ = input.send(AgentInput::Event(event));
         });
     }
@@ -301,24 +301,24 @@
     }
 }
 
-async fn send_command<W: WorkerPort>(worker: &W, order: WorkerCommand) -> AgentEvent {
-    let incarnation = order.incarnation.clone();
-    match &order.kind {
+async fn send_command<W: WorkerPort>(worker: &W, command: WorkerCommand) -> AgentEvent {
+    let incarnation = command.incarnation.clone();
+    match &command.kind {
         CommandKind::Start { run, .. } => AgentEvent::StartAnswered {
             run: *run,
             incarnation,
-            answer: worker.send_command(&order, COMMAND_TIMEOUT).await,
+            answer: worker.send_command(&command, COMMAND_TIMEOUT).await,
         },
         CommandKind::Stop { run } => AgentEvent::StopAnswered {
             run: *run,
             incarnation,
-            answer: worker.send_command(&order, COMMAND_TIMEOUT).await,
+            answer: worker.send_command(&command, COMMAND_TIMEOUT).await,
         },
         CommandKind::Watch { wait, .. } => {
             let limit = Duration::from_micros(wait.0) + WATCH_TIMEOUT_MARGIN;
             AgentEvent::Watched {
                 incarnation,
-                answer: worker.watch(&order, limit).await,
+                answer: worker.watch(&command, limit).await,
             }
         }
     }
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -14,7 +14,7 @@
 
 use super::ports::HeartbeatError;
 use crate::telemetry::{
-    CAPACITY_EXPIRED, CONTAINED_QUEUES, EVACUATED_ZONES, HEARTBEATS_IGNORED, JOB_SECONDS,
+    CAPACITY_STALE, CONTAINED_QUEUES, EVACUATED_ZONES, HEARTBEATS_IGNORED, JOB_SECONDS,
     JOB_STAGE_SECONDS, JOBS_ANSWERED, KNOWN_GATEWAYS, MISSING_SESSIONS, OFFERS, OFFERS_EXPIRED,
     RUN_TIME_RATIO, RUNS_ENDED, RUNS_STOPPED, STARTS_HELD, STOPS_UNANSWERED, TASKS_RETURNED,
     TASKS_SUSPECTED, WORKER_CRASHES, WORKER_UNRESPONSIVE,
@@ -371,7 +371,7 @@
             counter!(STOPS_UNANSWERED, "reason" => *reason).increment(1);
         }
         AgentDecision::WorkerSilent { .. } => counter!(WORKER_UNRESPONSIVE).increment(1),
-        AgentDecision::CapacityStale { .. } => counter!(CAPACITY_EXPIRED).increment(1),
+        AgentDecision::CapacityStale { .. } => counter!(CAPACITY_STALE).increment(1),
         AgentDecision::HeartbeatIgnored { reason, .. } => {
             counter!(HEARTBEATS_IGNORED, "reason" => reason.name()).increment(1);
         }
--- a/laurelstiled/src/leased/ports.rs
+++ b/laurelstiled/src/leased/ports.rs
@@ -16,14 +16,14 @@
     /// Sends a start or stop command to the worker, and waits for the answer for `limit` at most.
     fn send_command(
         &self,
-        order: &WorkerCommand,
+        command: &WorkerCommand,
         limit: Duration,
     ) -> impl Future<Output = Result<CommandAnswer, CommandError>> + Send;
 
     /// Sends a watch to the worker, and waits for the answer for `limit` at most.
     fn watch(
         &self,
-        order: &WorkerCommand,
+        command: &WorkerCommand,
         limit: Duration,
     ) -> impl Future<Output = Result<WatchAnswer, CommandError>> + Send;
 }
--- a/laurelstiled/src/leased/settings.rs
+++ b/laurelstiled/src/leased/settings.rs
@@ -126,7 +126,7 @@
 
 impl LeasedAgentSettings {
     /// Heartbeat interval of the worker, and how long its last report stays valid after it.
-    pub fn heartbeat_times(&self) -> HeartbeatTiming {
+    pub fn heartbeat_timing(&self) -> HeartbeatTiming {
         HeartbeatTiming {
             interval: Span::from_millis(self.heartbeat_millis),
             grace: Span::from_millis(self.room_grace_millis),
@@ -134,7 +134,7 @@
     }
 
     /// Time that a graceful shutdown waits for the remaining runs to end.
-    pub fn stop_patience(&self) -> Span {
+    pub fn shutdown_timeout(&self) -> Span {
         span_from_seconds((self.grace_seconds - STOP_RESERVE_SECONDS).max(0.0))
     }
 }
--- a/laurelstiled/src/telemetry.rs
+++ b/laurelstiled/src/telemetry.rs
@@ -74,7 +74,7 @@
 /// Unanswered starts held back because the worker's next incarnation might still execute them.
 pub const STARTS_HELD: &str = "laurelstile_starts_held_total";
 /// Number of times that starts were suspended because the worker's heartbeats were missing.
-pub const CAPACITY_EXPIRED: &str = "laurelstile_worker_room_aged_total";
+pub const CAPACITY_STALE: &str = "laurelstile_worker_room_aged_total";
 /// Number of times that the worker stopped answering.
 pub const WORKER_UNRESPONSIVE: &str = "laurelstile_worker_silent_total";
 
