--- a/laurelstiled/src/leased/gate.rs
+++ b/laurelstiled/src/leased/gate.rs
@@ -35,7 +35,7 @@
 
 /// Result of looking up the queue of a host and a path.
 #[derive(Clone, Debug)]
-pub enum QueueLookup {
+pub enum Lookup {
     /// No configuration has been read yet.
     NotConfigured,
     /// No queue matches the host and a prefix of the path.
@@ -81,18 +81,16 @@
 
     /// Looks up the queue of a request. Shortly after the start of the gateway, waits for the
     /// first configuration.
-    pub async fn find(&self, host: &str, path: &str) -> QueueLookup {
+    pub async fn find(&self, host: &str, path: &str) -> Lookup {
         self.wait_for_configuration().await;
         match &self.status().configuration {
             None => {
                 self.record_unconfigured(path);
-                QueueLookup::NotConfigured
+                Lookup::NotConfigured
             }
             Some(configuration) => configuration
                 .find(host, path)
-                .map_or(QueueLookup::Unknown, |queue| {
-                    QueueLookup::Queue(Arc::clone(queue))
-                }),
+                .map_or(Lookup::Unknown, |queue| Lookup::Queue(Arc::clone(queue))),
         }
     }
 
@@ -166,7 +164,7 @@
 impl Drop for CallGuard {
     fn drop(&mut self) {
         if let Some(input) = self.input.take() {
-            let _ = input.send(GatewayInput::Event(GatewayEvent::CallerGone {
+            let _ = input.send(GatewayInput::Event(GatewayEvent::CallerDisconnected {
                 call: self.call,
             }));
         }
--- a/laurelstiled/tests/gate.rs
+++ b/laurelstiled/tests/gate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use laurelstile_core::leased::gateway::queues::{QueueConfiguration, QueueSettings};
-use laurelstiled::leased::gate::{GatewayHandle, GatewayStatus, QueueLookup};
+use laurelstiled::leased::gate::{GatewayHandle, GatewayStatus, Lookup};
 use tokio::sync::{mpsc, watch};
 
 fn configuration() -> Arc<QueueConfiguration> {
@@ -40,17 +40,17 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     status.send_modify(|status| status.configuration = Some(configuration()));
     let found = finding.await.expect("no panic");
-    assert!(matches!(found, QueueLookup::Queue(_)), "{found:?}");
+    assert!(matches!(found, Lookup::Queue(_)), "{found:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_call_is_refused_once_the_wait_is_over() {
     let (gateway, _status) = gateway_handle();
     let found = gateway.find("example.test", "/checks/1").await;
-    assert!(matches!(found, QueueLookup::NotConfigured), "{found:?}");
+    assert!(matches!(found, Lookup::NotConfigured), "{found:?}");
     let began = tokio::time::Instant::now();
     let found = gateway.find("example.test", "/checks/1").await;
-    assert!(matches!(found, QueueLookup::NotConfigured), "{found:?}");
+    assert!(matches!(found, Lookup::NotConfigured), "{found:?}");
     assert!(
         began.elapsed() <= Duration::from_millis(1),
         "a later call does not wait"
