--- a/laurelstile-core/src/leased/gateway/cancels.rs
+++ b/laurelstile-core/src/leased/gateway/cancels.rs
@@ -60,8 +60,8 @@
 }
 
 impl LeasedGateway {
-    /// Handles a caller's cancellation. An unknown job is cancelled at the gateway that holds
-    /// it; the answer `Unknown` still acknowledges the request.
+    /// Handles a caller's cancellation. If this gateway does not hold the job, the cancellation
+    /// is sent to all peers and the caller is answered `Unknown`.
     pub(super) fn on_cancel(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/gateway/candidate.rs
+++ b/laurelstile-core/src/leased/gateway/candidate.rs
@@ -15,7 +15,8 @@
     /// The offer whose reserved resources are used; `None` if reported free resources are
     /// used.
     pub(super) offer: Option<u64>,
-    /// Index of the task to place separately, or `None` for a batch of unsuspected tasks.
+    /// Index of the task to place separately, or `None` for a batch of tasks that need not be
+    /// separated.
     pub(super) separated: Option<u32>,
     /// Whether the worker must run no other task at the same time.
     pub(super) is_exclusive: bool,
--- a/laurelstile-core/src/leased/gateway/containment.rs
+++ b/laurelstile-core/src/leased/gateway/containment.rs
@@ -4,6 +4,7 @@
 //! still take down a whole service, since each must be identified and a crashed worker is away
 //! for seconds. Once a quarter of a service's workers is away, a queue with several recent
 //! suspects is restricted to a fixed quarter of the workers; the other queues use the rest.
+//! Containment ends once the queue has fewer than [`MIN_SUSPECTS`] recent suspects.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -19,11 +20,11 @@
 use crate::leased::task::TaskId;
 use crate::session::SessionId;
 
-/// How long a suspect counts. It exceeds the time that workers are away after a crash, so that
-/// returning workers show whether more such tasks arrive.
+/// How long a suspect counts. Longer than a worker is away after a crash: whether the queue
+/// still has tasks that crash workers shows only once workers run its tasks again.
 const SUSPECT_RETENTION: Span = Span::from_secs(4);
-/// One in this many workers may be away after crashes before queues are contained, and
-/// contained queues use one in this many workers.
+/// Queues are contained once one in this many workers of their service is away after a crash.
+/// Contained queues use one in this many workers.
 const WORKER_DIVISOR: usize = 4;
 /// Minimum number of suspects for containment; fewer may be a coincidence.
 const MIN_SUSPECTS: usize = 2;
@@ -31,6 +32,7 @@
 /// Recent suspects, and the workers reserved for contained queues.
 #[derive(Debug, Default)]
 pub struct Containment {
+    /// Time of recording, queue name and task of each suspect, the oldest first.
     suspects: VecDeque<(Timestamp, Arc<str>, TaskId)>,
     /// Service of each contained queue, by queue name.
     queues: BTreeMap<Arc<str>, String>,
@@ -58,7 +60,7 @@
 
     fn suspect_count(&self, queue: &str) -> usize {
         let suspects = self.suspects.iter();
-        suspects.filter(|(_, of, _)| **of == *queue).count()
+        suspects.filter(|(_, name, _)| **name == *queue).count()
     }
 
     fn allows(&self, queue: &QueueSettings, agent: Incarnation) -> bool {
@@ -200,8 +202,8 @@
         self.containment.contains(&queue.name)
     }
 
-    /// If a queue is contained and none of its reserved workers is usable, returns the time at
-    /// which containment may end; otherwise `None`.
+    /// If a queue is contained and none of its reserved workers is usable, returns the time by
+    /// which containment ends unless more suspects are recorded; otherwise `None`.
     pub(super) fn containment_retry_at(
         &self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -77,7 +77,7 @@
         if !is_current {
             return;
         }
-        job.placed -= 1;
+        job.placed_count -= 1;
         let is_proved_not_run = matches!(
             how,
             EndKind::NotStarted(reason) if reason != NotStartedReason::Refused
@@ -104,10 +104,10 @@
             return;
         };
         task.state = TaskState::Done;
-        let taken = now.since(task.placed);
+        let duration = now.since(task.placed_at);
         let step = &mut job.steps[id.step as usize];
         step.done += 1;
-        step.longest = step.longest.max(taken);
+        step.longest = step.longest.max(duration);
         let is_step_done = step.is_done();
         if is_step_done {
             self.run_times
@@ -246,9 +246,9 @@
         }
     }
 
-    /// Marks the tasks of agents lost that have been silent for so long that their leases have
-    /// expired, and drops agents that were disconnected for longer than
-    /// [`DISCONNECTED_AGENT_RETENTION`].
+    /// Marks as lost the tasks of agents that have been silent for so long that the leases have
+    /// expired. Removes disconnected agents without tasks that were last heard more than
+    /// [`DISCONNECTED_AGENT_RETENTION`] ago.
     pub(super) fn expire_silent_agents(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/gateway/evacuation.rs
+++ b/laurelstile-core/src/leased/gateway/evacuation.rs
@@ -32,8 +32,8 @@
     }
 
     /// Applies evacuations received from a peer and forwards them if the zones have changed.
-    /// Confirmations are not forwarded; otherwise every read by one gateway would cause
-    /// messages from all others.
+    /// A newer revision with the same zones is not forwarded; otherwise every read by one
+    /// gateway would cause messages from all others.
     pub(super) fn on_peer_evacuations(
         &mut self,
         now: Timestamp,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether `service` has workers and all of them are in evacuated zones.
+    /// Whether `service` has reachable workers and all of them are in evacuated zones.
     pub(super) fn is_evacuated(&self, now: Timestamp, service: &str) -> bool {
         if self.evacuations.zones.is_empty() {
             return false;
@@ -105,8 +105,7 @@
         workers.peek().is_some() && workers.all(|worker| worker.is_evacuated)
     }
 
-    /// Refuses the jobs of which nothing was placed and whose service has only evacuated
-    /// workers.
+    /// Refuses the unstarted jobs whose service has only evacuated workers.
     fn refuse_evacuated(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         let is_excluded =
             |job: &&Job| job.is_unstarted() && self.is_evacuated(now, &job.queue.service);
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -27,7 +27,7 @@
     },
     /// A caller's connection closed before its answer was sent.
     CallerDisconnected {
-        /// Number under which the answer is returned.
+        /// Number of the unanswered call.
         call: CallNumber,
     },
     /// A caller requests the cancellation of a job.
@@ -226,7 +226,7 @@
         agent: String,
         /// Number of tasks in the batch.
         tasks: u32,
-        /// Age of the agent's report on which the choice was based.
+        /// Time since the latest message from the agent, with or without a report.
         report_age: Span,
         /// Time since the caller sent the job.
         age: Span,
@@ -283,8 +283,8 @@
     Suspected {
         /// Id of the suspected task.
         task: TaskId,
-        /// Whether the job ends because of it; otherwise the task next runs exclusively on a
-        /// worker.
+        /// Whether the task is not started again, so that its job fails. Otherwise it next runs
+        /// exclusively on a worker, unless its job is given up because too many suspects wait.
         is_given_up: bool,
         /// Incarnations of the crashed workers.
         workers: Vec<Arc<str>>,
--- a/laurelstile-core/src/leased/gateway/ingress_delay.rs
+++ b/laurelstile-core/src/leased/gateway/ingress_delay.rs
@@ -2,8 +2,8 @@
 //!
 //! Requests and agents' messages share the gateway's link. Requests carry no timestamp, but
 //! agents' messages do. The queueing delay of the messages is therefore taken as that of the
-//! requests and counted into the age of their jobs, so that a job that can no longer complete
-//! on time is refused at once and nothing of it runs.
+//! requests and added to the age of their jobs, so that a job that can no longer complete on
+//! time is refused at once, before any of its tasks runs.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,7 +15,7 @@
 /// Number of latest messages whose minimum delay is used: a congested link delays all of them,
 /// a slow agent only its own.
 const DELAY_SAMPLES: usize = 8;
-/// Maximum age of the messages.
+/// Maximum age of the oldest of the [`DELAY_SAMPLES`] latest messages.
 const MAX_SAMPLE_AGE: Span = Span::from_millis(200);
 
 /// Queueing delays of the latest messages from agents.
--- a/laurelstile-core/src/leased/gateway/intake.rs
+++ b/laurelstile-core/src/leased/gateway/intake.rs
@@ -12,8 +12,8 @@
 /// Retry delay after a refusal for lack of capacity.
 const OVERLOAD_RETRY_DELAY: Span = Span::from_millis(500);
 
-/// How long jobs are queued while there is no worker at all. Agents reconnect within this time
-/// after a power failure; during longer outages jobs are refused at once.
+/// How long after the first submission without any worker further jobs are still queued; later
+/// ones are refused at once. Agents reconnect within this time after a power failure.
 const NO_WORKER_MAX_WAIT: Span = Span::from_millis(1_000);
 
 /// A job is refused at once if its caller's remaining time is less than its expected run time
@@ -143,7 +143,7 @@
         (now > wait_ends).then_some(Refusal::NoWorker)
     }
 
-    /// Updates the time since which there is no worker at all.
+    /// Called for each submission; sets the start of a period without any worker, or ends it.
     fn update_worker_absence(&mut self, now: Timestamp) {
         if self.has_worker(now) {
             self.without_worker_since = None;
@@ -245,7 +245,7 @@
         self.timers.remove(&(job.refuse_at, id));
         self.timers.remove(&(job.deadline, id));
         self.timers.remove(&(job.not_before, id));
-        if job.placed > 0 {
+        if job.placed_count > 0 {
             self.stop_tasks(now, id, effects);
         }
     }
@@ -290,7 +290,8 @@
         }
     }
 
-    /// Ends a job whose refusal time or deadline has passed.
+    /// Ends a job whose refusal time or deadline has passed. While the backlog of a suspension
+    /// is read, only the deadline counts.
     pub(super) fn refuse_or_give_up(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/gateway/job.rs
+++ b/laurelstile-core/src/leased/gateway/job.rs
@@ -128,12 +128,12 @@
     pub run: RunNumber,
     /// Failed runs on workers that are not suspected of causing failures.
     pub failures: u32,
-    /// Failed runs on workers where other tasks had failed as well.
+    /// Failed runs on suspected workers: those where other tasks had failed as well.
     pub failures_on_suspects: u32,
     /// Runs that were stopped because they made no progress.
     pub stalls: u32,
-    /// Time of the latest placement.
-    pub placed: Timestamp,
+    /// Time of the latest placement; zero before the first.
+    pub placed_at: Timestamp,
 }
 
 /// State of a step of a job.
@@ -145,8 +145,8 @@
     pub tasks: Vec<Task>,
     /// Indices of waiting tasks that may share a batch.
     pub waiting: BTreeSet<u32>,
-    /// Indices of waiting tasks that are placed separately, because a worker has crashed under
-    /// them or they have stalled.
+    /// Indices of waiting tasks that are placed separately, because a worker has crashed while
+    /// it ran them or they have stalled.
     pub separated: BTreeSet<u32>,
     /// Number of completed tasks.
     pub done: u32,
@@ -164,7 +164,7 @@
             failures: 0,
             failures_on_suspects: 0,
             stalls: 0,
-            placed: Timestamp::default(),
+            placed_at: Timestamp::default(),
         };
         Self {
             caller_estimate,
@@ -220,7 +220,7 @@
     pub queue: Arc<QueueSettings>,
     /// The input that is sent with each start.
     pub input: JobInput,
-    /// When the caller sent the job, corrected by the ingress delay.
+    /// Estimated time at which the caller sent the job: its reception less the ingress delay.
     pub arrival: Timestamp,
     /// Estimated delay between the caller's sending and the arrival at the gateway.
     pub ingress_delay: Span,
@@ -228,7 +228,7 @@
     pub first_placed: Option<Timestamp>,
     /// Response time objective, derived from the estimates.
     pub objective: Span,
-    /// Latest start time of a ready step's tasks that still meets the objective.
+    /// Latest start of the first steps with which the job can still meet its objective.
     pub latest_start: Timestamp,
     /// When the job is refused if nothing of it was placed by then.
     pub refuse_at: Timestamp,
@@ -239,7 +239,7 @@
     /// Whether any task may have started, so that the job can no longer be refused as not run.
     pub may_have_started: bool,
     /// Number of tasks at agents.
-    pub placed: u32,
+    pub placed_count: u32,
     /// Number of distinct times at which agents returned starts as not started.
     pub returned_starts: u32,
     /// When an agent last returned a start as not started.
@@ -288,7 +288,7 @@
             deadline: now.after(Span(request.time_left.0.saturating_sub(ANSWER_MARGIN.0))),
             not_before: now,
             may_have_started: false,
-            placed: 0,
+            placed_count: 0,
             returned_starts: 0,
             last_returned: None,
             group: SizeGroup::Ordinary,
@@ -328,12 +328,12 @@
 
     /// Estimated total work, in core-milliseconds.
     pub fn work(&self) -> u64 {
-        let of_step = |step: &Step| {
-            let cores =
+        let step_work = |step: &Step| {
+            let cpu_millis =
                 u64::from(step.request.resources.cpu_millis) * u64::from(step.request.count);
-            cores * step.request.estimate.as_millis() / 1_000
+            cpu_millis * step.request.estimate.as_millis() / 1_000
         };
-        self.steps.iter().map(of_step).sum()
+        self.steps.iter().map(step_work).sum()
     }
 
     /// Indices of the steps with tasks that may be placed now.
@@ -351,7 +351,7 @@
     /// Whether the job can still be refused as not run: no task is at an agent and none may
     /// have started.
     pub fn is_unstarted(&self) -> bool {
-        self.placed == 0 && !self.may_have_started
+        self.placed_count == 0 && !self.may_have_started
     }
 
     /// Moves a waiting task to those that are placed separately.
--- a/laurelstile-core/src/leased/gateway/mod.rs
+++ b/laurelstile-core/src/leased/gateway/mod.rs
@@ -101,7 +101,8 @@
     cancels: CancelLog,
     crashes: CrashLog,
     containment: Containment,
-    /// When the first job was submitted during the current period without any worker.
+    /// When the first job was submitted in the current period without any worker; `None` while
+    /// there is a worker or no job was submitted.
     without_worker_since: Option<Timestamp>,
     stopping_since: Option<Timestamp>,
     stop_reported: bool,
@@ -247,8 +248,10 @@
         let opening = self.start_window.opens_at();
         let opening = opening.filter(|_| !self.waiting.is_empty());
         let members = self.membership.next_wakeup();
-        let peers = self.next_configuration_request_at();
-        let others = [timer, stop, opening, members, peers].into_iter().flatten();
+        let configuration = self.next_configuration_request_at();
+        let others = [timer, stop, opening, members, configuration]
+            .into_iter()
+            .flatten();
         workers.flatten().chain(others).min()
     }
 
--- a/laurelstile-core/src/leased/gateway/offers.rs
+++ b/laurelstile-core/src/leased/gateway/offers.rs
@@ -136,7 +136,7 @@
         if tasks > 0 {
             return Some(Candidate::offered(agent, tasks, offer.number));
         }
-        if fitting == 0 || self.has_separated_task(agent) {
+        if fitting == 0 || self.has_task_with_crashes(agent) {
             return None;
         }
         let index = self.first_separated_task(job, step)?;
@@ -158,7 +158,7 @@
             return;
         }
         let mut pending = PendingAnnouncements::new();
-        self.withdraw_placed(&mut pending);
+        self.withdraw_not_waiting(&mut pending);
         // While the start window is full, jobs wait for the window and not for resources.
         let is_open = self.start_window.is_open();
         for id in self.waiting_in_order(now) {
@@ -171,15 +171,15 @@
         }
     }
 
-    fn withdraw_placed(&mut self, pending: &mut PendingAnnouncements) {
+    fn withdraw_not_waiting(&mut self, pending: &mut PendingAnnouncements) {
         let waiting: BTreeSet<JobId> = self.waiting.iter().map(|(_, id)| *id).collect();
-        let placed: Vec<JobId> = self
+        let not_waiting: Vec<JobId> = self
             .announced
             .keys()
             .filter(|id| !waiting.contains(id))
             .copied()
             .collect();
-        for id in placed {
+        for id in not_waiting {
             let Some(announced) = self.announced.remove(&id) else {
                 continue;
             };
@@ -198,8 +198,8 @@
         };
         let rank = self.rank(now, job);
         let is_recent = self.announced.get(&id).is_some_and(|announced| {
-            let has_begun_since = rank == 0 && announced.rank > 0;
-            now.since(announced.at) < REANNOUNCE_INTERVAL && !has_begun_since
+            let has_started_since = rank == 0 && announced.rank > 0;
+            now.since(announced.at) < REANNOUNCE_INTERVAL && !has_started_since
         });
         if is_recent || now < job.not_before {
             return;
@@ -227,8 +227,8 @@
         }
     }
 
-    /// The agents to which a waiting step is announced. The hash-based order spreads different
-    /// jobs placed different agents.
+    /// The agents to which a waiting step is announced. They are chosen in an order based on a
+    /// hash that differs between jobs, which spreads the jobs over the agents.
     fn announcement_targets(&self, now: Timestamp, job: &Job, step: usize) -> Vec<Incarnation> {
         let waiting = job.steps[step].waiting_count();
         let Some(best_percent) = self.best_run_time_percent(now, &job.queue.service) else {
@@ -248,8 +248,8 @@
 }
 
 /// Maximum number of tasks of a step that `worker` may receive, regardless of its free
-/// resources; `None` if it may receive none. `best_percent` is the pace of the fastest worker of
-/// the service.
+/// resources; `None` if it may receive none. `best_percent` is the run time percentage of the
+/// fastest worker of the service.
 fn allowed_tasks_at(
     now: Timestamp,
     job: &Job,
--- a/laurelstile-core/src/leased/gateway/placement.rs
+++ b/laurelstile-core/src/leased/gateway/placement.rs
@@ -2,8 +2,9 @@
 //!
 //! The most urgent job is placed first. Tasks of a job are batched on one worker as far as its
 //! free resources allow: they share one message and one copy of the input, and a faulty worker
-//! affects fewer jobs. Among the workers that fit, the expected run time decides, then the
-//! zone, then utilization.
+//! affects fewer jobs. Workers that are fast enough for the job's objective are preferred, then
+//! those that can take more of its tasks, then those with the lowest cost: the expected run
+//! time plus penalties for another zone and for utilization.
 
 use std::sync::Arc;
 
@@ -26,7 +27,8 @@
 const UTILIZATION_COST_MICROS: u64 = 20_000;
 /// Cost of a worker without the label near the step's data, in percent of the run time.
 const REMOTE_DATA_COST_PERCENT: u64 = 50;
-/// A worker is slow if its run time percentage is at least this many times that of the fastest one.
+/// A worker is slow only if its run time percentage is at least this many times that of the
+/// fastest one.
 const SLOW_FACTOR: u32 = 2;
 /// How long tasks may wait at an agent whose resources another gateway has taken in the
 /// meantime. Short, since another worker may have free resources.
@@ -116,8 +118,9 @@
                 return false;
             }
             let is_contained = self.is_contained(&job.queue);
-            let is_short = |shortage: &Shortage| shortage.covers(&job.queue, is_contained, request);
-            if shortages.iter().any(is_short) {
+            let covers_step =
+                |shortage: &Shortage| shortage.covers(&job.queue, is_contained, request);
+            if shortages.iter().any(covers_step) {
                 return false;
             }
             let Some(candidate) = self.best_worker(now, id, step) else {
@@ -167,8 +170,8 @@
             })
     }
 
-    /// Pace of the fastest usable worker of `service`, in percent of the nominal run time, or
-    /// `None` if there is no such worker.
+    /// Run time on the fastest usable worker of `service`, in percent of the nominal run time,
+    /// or `None` if there is no such worker.
     pub(super) fn best_run_time_percent(&self, now: Timestamp, service: &str) -> Option<u32> {
         self.workers
             .values()
@@ -209,25 +212,27 @@
             run_time_percent
         };
         let run_time = request.estimate.0 * run_time_percent / 100;
-        let zone = if snapshot.zone == self.identity.member.zone {
+        let zone_cost = if snapshot.zone == self.identity.member.zone {
             0
         } else {
             CROSS_ZONE_COST_MICROS
         };
         let capacity = u64::from(snapshot.capacity.cpu_millis.max(1));
-        let taken = capacity.saturating_sub(u64::from(free.cpu_millis));
+        let used = capacity.saturating_sub(u64::from(free.cpu_millis));
         let is_fast = run_time <= job.objective.0;
         Some(Candidate {
             agent,
             is_fast,
             tasks,
-            cost: run_time + zone + UTILIZATION_COST_MICROS * taken / capacity,
+            cost: run_time + zone_cost + UTILIZATION_COST_MICROS * used / capacity,
             offer: None,
             separated: None,
             is_exclusive: false,
         })
     }
 
+    /// Sends the candidate's agent a batch of the step's waiting tasks. Offered resources are
+    /// not part of the reported free ones, so a batch that answers an offer uses none of these.
     pub(super) fn place(
         &mut self,
         now: Timestamp,
@@ -250,7 +255,7 @@
         let has_stalled = separated_task.is_some_and(|task| task.stalls > 0);
         let request = &job.steps[step].request;
         let count = u32::try_from(tasks.len()).unwrap_or(u32::MAX);
-        let reported = if candidate.offer.is_some() {
+        let used = if candidate.offer.is_some() {
             Resources::default()
         } else {
             request.resources.multiplied_by(count)
@@ -260,7 +265,7 @@
         } else {
             MAX_WAIT
         };
-        let number = worker.next_batch(reported, count);
+        let number = worker.next_batch(used, count);
         for (index, run) in &tasks {
             let task = task_id(id, step, *index);
             worker.add_task(task, *run);
@@ -297,7 +302,8 @@
 
 /// Number of the `wanted` tasks that a worker may receive. A worker that is far slower than
 /// the fastest one and too slow for the objective receives a single task while idle, as a
-/// probe. If all workers are slow, the estimate is assumed to be wrong and none is restricted.
+/// probe, and otherwise none (`None`). If all workers are slow, the estimate is assumed to be
+/// wrong and none is restricted.
 pub(super) fn allowed_tasks(
     job: &Job,
     request: &StepRequest,
@@ -316,6 +322,7 @@
     }
 }
 
+/// Marks the candidate's tasks as placed and returns them, with the numbers of their new runs.
 fn take_tasks(
     now: Timestamp,
     job: &mut Job,
@@ -335,10 +342,10 @@
         };
         let task = &mut step.tasks[index as usize];
         task.state = TaskState::Placed;
-        task.placed = now;
+        task.placed_at = now;
         task.run = RunNumber(task.run.0 + 1);
         taken.push((index, task.run));
     }
-    job.placed += u32::try_from(taken.len()).unwrap_or(u32::MAX);
+    job.placed_count += u32::try_from(taken.len()).unwrap_or(u32::MAX);
     taken
 }
--- a/laurelstile-core/src/leased/gateway/process_suspension.rs
+++ b/laurelstile-core/src/leased/gateway/process_suspension.rs
@@ -37,8 +37,8 @@
 }
 
 impl LeasedGateway {
-    /// Records that the process is running, and delays the placement of all jobs after a
-    /// suspension.
+    /// Records the time of a flush. If the process was suspended before it, delays the
+    /// placement of all jobs.
     pub(super) fn detect_suspension(&mut self, now: Timestamp) {
         let last_flush = std::mem::replace(&mut self.suspension.last_flush, now);
         if now.since(last_flush) <= SUSPENSION_THRESHOLD {
--- a/laurelstile-core/src/leased/gateway/run_times.rs
+++ b/laurelstile-core/src/leased/gateway/run_times.rs
@@ -28,10 +28,13 @@
 /// A line fitted by least squares to the logarithms of estimates and run times.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fit {
+    /// Number of observed steps, at most [`WINDOW_STEPS`].
     count: f64,
     mean_estimate: f64,
-    mean_run: f64,
+    mean_run_time: f64,
+    /// Variance of the estimates.
     variance: f64,
+    /// Covariance of estimates and run times.
     covariance: f64,
 }
 
@@ -66,23 +69,23 @@
 }
 
 impl Fit {
-    fn record(&mut self, estimate: f64, run: f64) {
+    fn record(&mut self, estimate: f64, run_time: f64) {
         self.count = (self.count + 1.0).min(WINDOW_STEPS);
         let weight = 1.0 / self.count;
         let estimate_offset = estimate - self.mean_estimate;
-        let run_offset = run - self.mean_run;
+        let run_time_offset = run_time - self.mean_run_time;
         self.mean_estimate += weight * estimate_offset;
-        self.mean_run += weight * run_offset;
+        self.mean_run_time += weight * run_time_offset;
         self.variance =
             (1.0 - weight) * (self.variance + weight * estimate_offset * estimate_offset);
         self.covariance =
-            (1.0 - weight) * (self.covariance + weight * estimate_offset * run_offset);
+            (1.0 - weight) * (self.covariance + weight * estimate_offset * run_time_offset);
     }
 
     fn expected(&self, estimate: f64) -> f64 {
         let prior = PRIOR_STEPS * PRIOR_VARIANCE;
         let slope = (self.count * self.covariance + prior) / (self.count * self.variance + prior);
-        let fitted = self.mean_run + slope * (estimate - self.mean_estimate);
+        let fitted = self.mean_run_time + slope * (estimate - self.mean_estimate);
         let fit_weight = self.count / (self.count + PRIOR_STEPS);
         let expected = fit_weight * fitted + (1.0 - fit_weight) * estimate;
         expected.clamp(
--- a/laurelstile-core/src/leased/gateway/stages.rs
+++ b/laurelstile-core/src/leased/gateway/stages.rs
@@ -10,6 +10,6 @@
     /// Queued in the gateway, until the first task was sent to an agent or, if none was, until
     /// the answer.
     pub waiting: Span,
-    /// From the first start to the answer.
+    /// From the sending of the first task to an agent until the answer; zero if none was sent.
     pub working: Span,
 }
--- a/laurelstile-core/src/leased/gateway/start_window.rs
+++ b/laurelstile-core/src/leased/gateway/start_window.rs
@@ -44,13 +44,13 @@
 #[derive(Debug)]
 pub struct StartWindow {
     window_bytes: u64,
-    in_flight: u64,
+    in_flight_bytes: u64,
     batches: BTreeMap<(Incarnation, u64), Batch>,
     /// The batches in sending order.
     send_order: VecDeque<(Timestamp, Incarnation, u64)>,
     /// Delays of the latest reported batches.
     delays: VecDeque<Span>,
-    last_reduced: Timestamp,
+    last_reduced_at: Timestamp,
     /// Whether a start had to wait for the window since it was last enlarged.
     was_limited: bool,
 }
@@ -59,11 +59,11 @@
     fn default() -> Self {
         Self {
             window_bytes: INITIAL_WINDOW_BYTES,
-            in_flight: 0,
+            in_flight_bytes: 0,
             batches: BTreeMap::new(),
             send_order: VecDeque::new(),
             delays: VecDeque::new(),
-            last_reduced: Timestamp::default(),
+            last_reduced_at: Timestamp::default(),
             was_limited: false,
         }
     }
@@ -72,7 +72,7 @@
 impl StartWindow {
     /// Whether the window has space for another batch.
     pub fn is_open(&self) -> bool {
-        self.in_flight < self.window_bytes
+        self.in_flight_bytes < self.window_bytes
     }
 
     /// Records that a start has to wait for the window.
@@ -95,7 +95,7 @@
             },
         );
         self.send_order.push_back((now, agent, number));
-        self.in_flight += bytes;
+        self.in_flight_bytes += bytes;
     }
 
     /// Handles an agent's report that it has processed its batches up to number `processed`.
@@ -150,7 +150,7 @@
 
     fn remove(&mut self, agent: Incarnation, number: u64) -> Option<Batch> {
         let batch = self.batches.remove(&(agent, number))?;
-        self.in_flight -= batch.bytes;
+        self.in_flight_bytes -= batch.bytes;
         Some(batch)
     }
 
@@ -175,10 +175,12 @@
                 self.was_limited = !self.is_open();
                 self.window_bytes = (self.window_bytes + acknowledged_bytes).min(MAX_WINDOW_BYTES);
             }
-        } else if now.since(self.last_reduced) >= delay.max(TARGET_DELAY) {
-            self.last_reduced = now;
+        } else if now.since(self.last_reduced_at) >= delay.max(TARGET_DELAY) {
+            self.last_reduced_at = now;
             let factor = TARGET_DELAY.0 as f64 / delay.0 as f64;
-            let reduced = self.window_bytes.min(self.in_flight.max(MIN_WINDOW_BYTES)) as f64;
+            let reduced = self
+                .window_bytes
+                .min(self.in_flight_bytes.max(MIN_WINDOW_BYTES)) as f64;
             self.window_bytes =
                 ((reduced * factor.max(MIN_REDUCTION_FACTOR)) as u64).max(MIN_WINDOW_BYTES);
         }
--- a/laurelstile-core/src/leased/gateway/suspects.rs
+++ b/laurelstile-core/src/leased/gateway/suspects.rs
@@ -62,8 +62,8 @@
     }
 
     /// Records crashes reported by an agent. Those that affect local jobs are sent to peers,
-    /// so that the crashes count if the caller resubmits elsewhere. Other gateways hear of
-    /// their own jobs' crashes from the agent.
+    /// so that the crashes count if the caller resubmits elsewhere. Other gateways are sent
+    /// the crashes that affect their jobs by the agent itself.
     pub(super) fn on_agent_crashes(
         &mut self,
         now: Timestamp,
@@ -167,18 +167,18 @@
             return self.exclusive_worker(now, id, step, index, 0);
         }
         if suspicion == Suspicion::OneEarlyCrash {
-            let idle = self.exclusive_worker(now, id, step, index, MIN_FREE_PERMILLE);
-            if idle.is_some() {
-                return idle;
+            let exclusive = self.exclusive_worker(now, id, step, index, MIN_FREE_PERMILLE);
+            if exclusive.is_some() {
+                return exclusive;
             }
         }
-        let has_other = |agent| self.has_separated_task(agent);
+        let has_other = |agent| self.has_task_with_crashes(agent);
         let candidate = self.best_worker_of(now, id, step, 1, |agent| !has_other(agent))?;
         Some(candidate.with_separated(index))
     }
 
     /// Whether a worker holds a task of this gateway during which another worker has crashed.
-    pub(super) fn has_separated_task(&self, agent: Incarnation) -> bool {
+    pub(super) fn has_task_with_crashes(&self, agent: Incarnation) -> bool {
         if self.crashes.is_empty() {
             return false;
         }
--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -22,7 +22,8 @@
     tasks: u32,
 }
 
-/// State of a worker and of the session with its agent. Keyed by the incarnation of the agent.
+/// State of a worker and of the session with its agent. There is one for each incarnation of
+/// an agent.
 #[derive(Debug)]
 pub struct Worker {
     /// Name of the agent, which outlives its process.
@@ -44,22 +45,23 @@
     pub last_sent: Timestamp,
     /// Whether no timestamp has been echoed on this session yet.
     pub awaits_echo: bool,
-    /// Highest number of a received end.
+    /// Highest number among the ends that were received from the agent.
     pub last_received_end: u64,
-    /// Highest number of an acknowledged end.
+    /// Highest number among the ends that were acknowledged to the agent.
     pub last_acknowledged_end: u64,
     /// This gateway's tasks at the agent.
     pub tasks: BTreeMap<TaskId, RunNumber>,
-    /// Those of the tasks that were given up and are to be stopped.
+    /// The subset of `tasks` that are no longer needed and are to be stopped.
     unwanted: BTreeSet<TaskId>,
     /// Whether the worker has crashed and no new incarnation is under control yet.
     pub has_crashed: bool,
-    /// The latest task that was placed there to run exclusively.
+    /// The latest task that was placed on the worker to run exclusively; it may have ended.
     pub exclusive_task: Option<TaskId>,
     /// Resources that the agent reserves for this gateway, not answered yet.
     pub offers: Vec<Offer>,
     pub is_evacuated: bool,
-    batches: u64,
+    /// Number of the latest batch on this session; 0 before the first.
+    last_batch: u64,
     unreported: VecDeque<UnreportedBatch>,
 }
 
@@ -89,7 +91,7 @@
             exclusive_task: None,
             offers: Vec::new(),
             is_evacuated: false,
-            batches: 0,
+            last_batch: 0,
             unreported: VecDeque::new(),
         }
     }
@@ -102,7 +104,7 @@
         self.last_heard = now;
         self.last_sent = now;
         self.awaits_echo = true;
-        self.batches = 0;
+        self.last_batch = 0;
         self.offers.clear();
         self.unreported.clear();
     }
@@ -159,20 +161,22 @@
     /// Records a batch of `tasks` tasks that occupies `used` of the reported free resources;
     /// returns its number.
     pub fn next_batch(&mut self, used: Resources, tasks: u32) -> u64 {
-        self.batches += 1;
+        self.last_batch += 1;
         self.unreported.push_back(UnreportedBatch {
-            number: self.batches,
+            number: self.last_batch,
             used,
             tasks,
         });
-        self.batches
+        self.last_batch
     }
 
-    /// Estimated free resources: those reported, less those of unacknowledged batches.
+    /// Estimated free resources: those reported, less those that unreported batches use.
     pub fn free_resources(&self) -> Resources {
         self.unreported
             .iter()
-            .fold(self.report.free, |acc, sent| acc.saturating_sub(sent.used))
+            .fold(self.report.free, |free, batch| {
+                free.saturating_sub(batch.used)
+            })
     }
 
     /// Number of tasks that the worker may still receive.
