--- a/laurelstile-core/tests/leased_crashes.rs
+++ b/laurelstile-core/tests/leased_crashes.rs
@@ -117,12 +117,16 @@
 #[case::late(LATE, 5)]
 fn a_task_fails_after_a_limit_of_crashes_beside_other_tasks(
     #[case] is_early: bool,
-    #[case] most: u64,
+    #[case] max_crashes: u64,
 ) {
     let mut rig = gateway(6);
     rig.submit(at(10), 1, job(1, 1, 100));
-    for crashes in 1..=most {
-        assert!(rig.answers.is_empty(), "given up after {}", crashes - 1);
+    for crashes in 1..=max_crashes {
+        assert!(
+            rig.answers.is_empty(),
+            "given up after {} crashes",
+            crashes - 1
+        );
         let batch = rig.next_start();
         assert_eq!(
             batch.1.is_exclusive && crashes <= 2,
@@ -149,7 +153,7 @@
     assert_eq!(exclusive.1.tasks.len(), 1);
     assert!(
         rig.starts.is_empty(),
-        "the other one waits until the first has ended"
+        "the second suspect waits until the first has ended"
     );
     rig.end(at(200), &exclusive, EndKind::Done, cpu(8_000));
     assert!(rig.next_start().1.is_exclusive);
@@ -244,7 +248,7 @@
     assert_eq!(given_up.count(), 2, "{:?}", rig.answers);
 }
 
-/// The crashes reported on a session, and whether they came before any end.
+/// The crashes reported on a session, and whether the first of them precedes the first end.
 fn reported_crashes(rig: &AgentRig, session: SessionId) -> (Vec<WorkerCrash>, bool) {
     let bodies = rig.sent.iter().filter(|(to, _)| *to == session);
     let bodies: Vec<&FromAgentBody> = bodies.map(|(_, message)| &message.body).collect();
@@ -352,7 +356,7 @@
 }
 
 #[test]
-fn a_start_refused_by_a_dead_worker_does_not_count_in_its_crash() {
+fn a_start_refused_by_an_ended_incarnation_does_not_count_in_its_crash() {
     let mut rig = agent_with_two_runs(60);
     let batch = rig.batch(2, 1, 50);
     rig.message(at(70), batch);
@@ -400,15 +404,15 @@
     assert_eq!(rig.take_starts(), [run(3, 0)]);
 }
 
-/// A gateway with eight workers and two queues of one service, after workers have crashed
-/// under two suspects of queue `checks`.
+/// A gateway with eight workers and two queues of one service, after workers have crashed while
+/// running two suspects of queue `checks`.
 fn gateway_with_crashed_workers() -> GatewayRig {
     let mut rig = gateway(8);
     let mut other = leased_support::queue();
     other.name = "others".into();
-    let mut known = leased_support::configuration(2);
-    known.queues.push(std::sync::Arc::new(other));
-    rig.event(at(1), GatewayEvent::Configuration(known));
+    let mut configuration = leased_support::configuration(2);
+    configuration.queues.push(std::sync::Arc::new(other));
+    rig.event(at(1), GatewayEvent::Configuration(configuration));
     for id in [1, 2] {
         rig.submit(at(10), id, job(id, 1, 100));
     }
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -120,7 +120,7 @@
 #[case::stalled(EndKind::Stalled, None)]
 #[case::too_slow(EndKind::TooSlow { projected_millis: 900 }, None)]
 #[case::lost(EndKind::Lost, None)]
-fn only_failures_of_its_own_count_as_attempts(
+fn only_failures_caused_by_the_task_itself_count_as_attempts(
     #[case] how: EndKind,
     #[case] expected: Option<Answer>,
 ) {
@@ -294,8 +294,8 @@
     ));
 }
 
-/// Guards against a stopping gateway that admits new jobs for as long as others are in flight,
-/// and is killed with them.
+/// Guards against a stopping gateway that admits new jobs as long as others are in flight and
+/// is then killed before they end.
 #[test]
 fn a_stopping_gateway_admits_no_job_after_the_overlap() {
     let mut rig = GatewayRig::new();
@@ -451,8 +451,8 @@
     }
 }
 
-/// A new agent process learns of its worker from a stored record; only gateways know how old
-/// that is.
+/// A new agent process learns of its worker from a stored record; only gateways know how long
+/// ago the previous process was last heard.
 #[test]
 fn a_new_agent_process_is_told_how_long_its_predecessor_was_silent() {
     let mut rig = GatewayRig::new();
@@ -475,7 +475,7 @@
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
     for stalls in 0..4 {
-        assert!(rig.answers.is_empty(), "given up after {stalls}");
+        assert!(rig.answers.is_empty(), "given up after {stalls} stalls");
         let batch = rig.next_start();
         assert_eq!(batch.1.has_stalled, stalls > 0);
         let now = at(100 + 100 * stalls);
@@ -493,7 +493,7 @@
     rig.join(at(0), 1, "agent-1", cpu(4_000));
     rig.submit(at(10), 1, job(1, 1, 100));
     for failures in 0..6 {
-        assert!(rig.answers.is_empty(), "failed after {failures}");
+        assert!(rig.answers.is_empty(), "failed after {failures} failures");
         let batch = rig.next_start();
         let now = at(100 + 100 * failures);
         rig.end(now, &batch, EndKind::FailedOnSuspect, cpu(4_000));
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -1,8 +1,8 @@
 //! Tests that no two runs of a task overlap.
 //!
-//! They guard against ends that are reported without proof: of a worker that has deregistered
-//! but still runs, of a session that opened without any message, and of a stop that was not
-//! confirmed.
+//! They guard against runs that are reported as ended without proof, for example when their
+//! worker deregisters while it is still running or a stop is not confirmed, and against runs
+//! that continue after their gateway considers them lost or their caller has resubmitted.
 
 mod leased_support;
 
@@ -118,7 +118,7 @@
 /// before its runs end.
 #[rstest]
 #[case::died(false, 2)]
-#[case::leaves(true, 0)]
+#[case::drains(true, 0)]
 fn a_refused_watch_proves_the_end_of_an_incarnation_that_does_not_drain(
     #[case] is_draining: bool,
     #[case] ends: usize,
@@ -180,12 +180,12 @@
     rig.open(at(50), session, other);
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
-    let left = rig.take_starts()[0];
-    rig.answer_start(at(101), left, None);
+    let orphaned = rig.take_starts()[0];
+    rig.answer_start(at(101), orphaned, None);
     let batch = rig.batch(2, 1, 4);
     rig.message_from(at(100), session, batch);
-    let kept = rig.take_starts()[0];
-    rig.answer_start(at(102), kept, None);
+    let other_run = rig.take_starts()[0];
+    rig.answer_start(at(102), other_run, None);
     let expiry = worker_clock(at(100 + AGENT_EXPIRY.as_millis()));
     for millis in (110..2_000).step_by(10) {
         rig.message_from(at(millis), session, ToAgentBody::Heartbeat);
@@ -196,7 +196,10 @@
         assert!(latest <= Some(expiry), "at {millis} ms: {latest:?}");
         if millis < 1_000 {
             let percent = 60 + u32::try_from(millis / 50).expect("a percentage");
-            rig.answer_watch(at(millis), lists(&[(left, percent), (kept, percent)], &[]));
+            rig.answer_watch(
+                at(millis),
+                lists(&[(orphaned, percent), (other_run, percent)], &[]),
+            );
         } else {
             rig.time_out_watch(at(millis));
         }
--- a/laurelstile-core/tests/leased_queues.rs
+++ b/laurelstile-core/tests/leased_queues.rs
@@ -1,4 +1,5 @@
-//! Tests for the lookup of queues, the parsing of ids, and counts of resources.
+//! Tests for the lookup and objectives of queues, the text form of ids, and the number of tasks
+//! that fit into free resources.
 
 use std::sync::Arc;
 
@@ -81,11 +82,11 @@
 #[case(3, 2, 1)]
 #[case(4, 2, 2)]
 #[case(1, 2, 0)]
-fn resources_are_counted_in_whole_tasks(#[case] free: u32, #[case] need: u32, #[case] times: u32) {
+fn resources_are_counted_in_whole_tasks(#[case] free: u32, #[case] need: u32, #[case] count: u32) {
     let resources = |gpus| Resources {
         cpu_millis: 0,
         memory_mib: 0,
         gpus,
     };
-    assert_eq!(resources(need).count_fitting_in(resources(free)), times);
+    assert_eq!(resources(need).count_fitting_in(resources(free)), count);
 }
--- a/laurelstile-core/tests/leased_start_window.rs
+++ b/laurelstile-core/tests/leased_start_window.rs
@@ -10,12 +10,12 @@
 use laurelstile_types::time::{Span, Timestamp};
 use leased_support::{GatewayRig, at, cpu, job};
 
-const BATCH: u64 = 700;
+const BATCH_BYTES: u64 = 700;
 
 /// Sends batches to different agents over a link of `bytes_per_milli` as fast as the window
 /// permits. Returns the longest queueing time of a batch in the second half of the run.
 fn longest_queueing_time(window: &mut StartWindow, bytes_per_milli: u64, millis: u64) -> Span {
-    let mut link_free = at(0);
+    let mut link_free_at = at(0);
     let mut reports: Vec<(Timestamp, Incarnation)> = Vec::new();
     let mut longest = Span::default();
     let mut batches = 0;
@@ -31,15 +31,15 @@
         while window.is_open() {
             batches += 1;
             let agent = Incarnation(batches);
-            window.on_sent(now, agent, 1, BATCH);
-            link_free = link_free
+            window.on_sent(now, agent, 1, BATCH_BYTES);
+            link_free_at = link_free_at
                 .max(now)
-                .after(Span(BATCH * 1_000 / bytes_per_milli));
+                .after(Span(BATCH_BYTES * 1_000 / bytes_per_milli));
             // Skips the first half, in which the window adapts.
             if milli > millis / 2 {
-                longest = longest.max(link_free.since(now));
+                longest = longest.max(link_free_at.since(now));
             }
-            reports.push((link_free.after(Span::from_millis(8)), agent));
+            reports.push((link_free_at.after(Span::from_millis(8)), agent));
         }
         window.record_blocked();
     }
@@ -87,7 +87,7 @@
         let now = at(number * 10);
         let slow = number % 7 == 0;
         let agent = Incarnation(u64::from(slow));
-        window.on_sent(now, agent, number, BATCH);
+        window.on_sent(now, agent, number, BATCH_BYTES);
         let delay = if slow { 250 } else { 8 };
         window.on_report(at(number * 10 + delay), agent, number);
     }
@@ -100,7 +100,7 @@
     let mut sent = 0;
     while window.is_open() {
         sent += 1;
-        window.on_sent(at(10), Incarnation(sent), 1, BATCH);
+        window.on_sent(at(10), Incarnation(sent), 1, BATCH_BYTES);
     }
     let opens_at = window
         .opens_at()
--- a/laurelstile-core/tests/leased_way_in.rs
+++ b/laurelstile-core/tests/leased_way_in.rs
@@ -80,7 +80,7 @@
 /// The job's objective is 360 ms; it is refused after a quarter of it, less the caller's round
 /// trip.
 #[test]
-fn a_call_with_ingress_delay_is_refused_sooner() {
+fn a_job_with_an_ingress_delay_is_refused_sooner() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(500));
     let heartbeat = |rig: &mut GatewayRig, now: u64, sent: u64| {
@@ -98,7 +98,10 @@
         heartbeat(&mut rig, 100 + number, 40 + number);
     }
     rig.submit(at(110), 1, job(1, 1, 200));
-    assert!(rig.answers.is_empty(), "60 of 82 ms have passed");
+    assert!(
+        rig.answers.is_empty(),
+        "60 of the 82 ms until the refusal have passed"
+    );
     rig.tick(at(133));
     let is_refused = |answer: Option<Answer>| {
         matches!(
