--- a/laurelstile-core/src/leased/gateway/workers.rs
+++ b/laurelstile-core/src/leased/gateway/workers.rs
@@ -174,9 +174,7 @@
     pub fn free_resources(&self) -> Resources {
         self.unreported
             .iter()
-            .fold(self.report.free, |free, batch| {
-                free.saturating_sub(batch.used)
-            })
+            .fold(self.report.free, |acc, sent| acc.saturating_sub(sent.used))
     }
 
     /// Number of tasks that the worker may still receive.
--- a/laurelstile-core/tests/leased_evacuation.rs
+++ b/laurelstile-core/tests/leased_evacuation.rs
@@ -64,8 +64,8 @@
     rig.open_peer(at(0), session);
     let message = ToPeer::Evacuations(evacuations(7, &["here"]));
     rig.peer_message(at(1), session, message);
-    let late = GatewayEvent::Evacuations(evacuations(6, &[]));
-    rig.event(at(2), late);
+    let older = GatewayEvent::Evacuations(evacuations(6, &[]));
+    rig.event(at(2), older);
     rig.submit(at(10), 1, job(1, 1, 100));
     assert_eq!(rig.next_start().0, SessionId(2));
 }
@@ -133,8 +133,8 @@
     assert_eq!(rig.ends(), [(task(1, 0), refused)]);
     assert_eq!(rig.last_report().map(|report| report.limit), Some(0));
 
-    let late = ToAgentBody::Evacuations(evacuations(4, &[]));
-    rig.message(at(20), late);
+    let older = ToAgentBody::Evacuations(evacuations(4, &[]));
+    rig.message(at(20), older);
     assert!(!rig.is_available(), "older revisions are ignored");
     let ended = ToAgentBody::Evacuations(evacuations(6, &["there"]));
     rig.message(at(30), ended);
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -16,7 +16,7 @@
 use rstest::rstest;
 
 /// Session of a second gateway.
-const OTHER_SESSION: SessionId = SessionId(80);
+const OTHER: SessionId = SessionId(80);
 
 fn announcement(job: u64, count: u32, rank: u32) -> Announcement {
     Announcement {
@@ -32,7 +32,7 @@
 /// An agent with two gateways whose worker is fully occupied by a task of the first one.
 fn full_agent() -> AgentRig {
     let mut rig = AgentRig::with_worker(cpu(1_000));
-    rig.open(at(0), OTHER_SESSION, Incarnation(8));
+    rig.open(at(0), OTHER, Incarnation(8));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(1), batch);
     let started = rig.take_starts();
@@ -50,11 +50,11 @@
     rig.message(at(10), ToAgentBody::Announce(vec![announcement(2, 1, 900)]));
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
-    assert_eq!(rig.offers(OTHER_SESSION), vec![cpu(1_000)]);
+    assert_eq!(rig.offers(OTHER), vec![cpu(1_000)]);
     assert!(rig.offers(SESSION).is_empty());
     assert_eq!(rig.reported_free_cpu(SESSION), Some(0));
 }
@@ -64,14 +64,14 @@
     let mut rig = full_agent();
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
     rig.take_starts();
-    let offer = rig.last_offer(OTHER_SESSION);
+    let offer = rig.last_offer(OTHER);
     let batch = rig.batch(3, 1, 0);
-    rig.message_from(at(31), OTHER_SESSION, answering(batch, offer));
+    rig.message_from(at(31), OTHER, answering(batch, offer));
     assert_eq!(rig.take_starts(), vec![run(3, 0)]);
 }
 
@@ -83,17 +83,13 @@
     rig.message(at(10), ToAgentBody::Announce(vec![announcement(2, 1, 900)]));
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
     if is_declined {
-        let offer = rig.last_offer(OTHER_SESSION);
-        rig.message_from(
-            at(millis),
-            OTHER_SESSION,
-            ToAgentBody::Decline(vec![offer.number]),
-        );
+        let offer = rig.last_offer(OTHER);
+        rig.message_from(at(millis), OTHER, ToAgentBody::Decline(vec![offer.number]));
     } else {
         rig.tick(at(millis));
     }
@@ -105,15 +101,15 @@
     let mut rig = full_agent();
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 5, 400)]),
     );
     end_run(&mut rig, at(30));
     rig.tick(at(41));
     rig.tick(at(60));
-    assert_eq!(rig.offers(OTHER_SESSION).len(), 1, "only one offer is made");
+    assert_eq!(rig.offers(OTHER).len(), 1, "only one offer is made");
     assert_eq!(
-        rig.reported_free_cpu(OTHER_SESSION),
+        rig.reported_free_cpu(OTHER),
         Some(1_000),
         "the resources are reported as free again"
     );
@@ -124,17 +120,13 @@
     let mut rig = full_agent();
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     let withdrawn = Announcement::withdrawn(JobId(3), 0);
-    rig.message_from(
-        at(11),
-        OTHER_SESSION,
-        ToAgentBody::Announce(vec![withdrawn]),
-    );
+    rig.message_from(at(11), OTHER, ToAgentBody::Announce(vec![withdrawn]));
     end_run(&mut rig, at(30));
-    assert!(rig.offers(OTHER_SESSION).is_empty());
+    assert!(rig.offers(OTHER).is_empty());
 }
 
 #[test]
@@ -142,12 +134,12 @@
     let mut rig = full_agent();
     rig.message_from(
         at(10),
-        OTHER_SESSION,
+        OTHER,
         ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     rig.register(at(20), "life-1", cpu(1_000), true);
     end_run(&mut rig, at(30));
-    assert!(rig.offers(OTHER_SESSION).is_empty());
+    assert!(rig.offers(OTHER).is_empty());
 }
 
 fn answering(batch: ToAgentBody, offer: Offer) -> ToAgentBody {
--- a/laurelstile-core/tests/leased_one_run.rs
+++ b/laurelstile-core/tests/leased_one_run.rs
@@ -184,8 +184,8 @@
     rig.answer_start(at(101), orphaned, None);
     let batch = rig.batch(2, 1, 4);
     rig.message_from(at(100), session, batch);
-    let other_run = rig.take_starts()[0];
-    rig.answer_start(at(102), other_run, None);
+    let owned = rig.take_starts()[0];
+    rig.answer_start(at(102), owned, None);
     let expiry = worker_clock(at(100 + AGENT_EXPIRY.as_millis()));
     for millis in (110..2_000).step_by(10) {
         rig.message_from(at(millis), session, ToAgentBody::Heartbeat);
@@ -198,7 +198,7 @@
             let percent = 60 + u32::try_from(millis / 50).expect("a percentage");
             rig.answer_watch(
                 at(millis),
-                lists(&[(orphaned, percent), (other_run, percent)], &[]),
+                lists(&[(orphaned, percent), (owned, percent)], &[]),
             );
         } else {
             rig.time_out_watch(at(millis));
