--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -25,8 +25,8 @@
 const MAX_STALLS: u32 = 4;
 /// Delay before a task is placed again while its earlier run is being stopped.
 const DUPLICATE_BACKOFF: Span = Span::from_millis(100);
-/// How long a disconnected agent is kept, so that its successor of the same name can be told
-/// how long it was silent.
+/// How long the state of a disconnected agent is kept, so that the next agent process of the
+/// same name can be sent the time since the agent was last heard.
 const DISCONNECTED_AGENT_RETENTION: Span = Span::from_secs(3);
 /// Increment that moves run numbers past those assigned by an earlier gateway.
 const RUN_NUMBER_INCREMENT: u32 = 16;
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -222,7 +222,7 @@
     Placed {
         /// Id of the job.
         job: JobId,
-        /// Name of the agent beside the worker.
+        /// Name of the worker's agent.
         agent: String,
         /// Number of tasks in the batch.
         tasks: u32,
@@ -235,7 +235,7 @@
     TaskReturned {
         /// Id of the ended run.
         run: RunId,
-        /// Name of the agent beside the worker.
+        /// Name of the worker's agent.
         agent: String,
         /// How the run ended.
         how: EndKind,
@@ -305,7 +305,7 @@
     },
     /// An agent was silent for so long that its tasks are considered lost.
     AgentExpired {
-        /// Name of the agent beside the worker.
+        /// Name of the agent.
         agent: String,
         /// Number of lost tasks.
         tasks: usize,
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -454,7 +454,7 @@
 /// A new agent process learns of its worker from a stored record; only gateways know how long
 /// ago the previous process was last heard.
 #[test]
-fn a_new_agent_process_is_told_how_long_its_predecessor_was_silent() {
+fn a_new_agent_process_is_sent_the_silence_of_its_predecessor() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.event(
