--- a/laurelstile-core/src/leased/gateway/ends.rs
+++ b/laurelstile-core/src/leased/gateway/ends.rs
@@ -25,8 +25,8 @@
 const MAX_STALLS: u32 = 4;
 /// Delay before a task is placed again while its earlier run is being stopped.
 const DUPLICATE_BACKOFF: Span = Span::from_millis(100);
-/// How long a disconnected agent is kept, so that its successor of the same name can be told
-/// how long it was silent.
+/// How long the state of a disconnected agent is kept, so that the next agent process of the
+/// same name can be sent the time since the agent was last heard.
 const DISCONNECTED_AGENT_RETENTION: Span = Span::from_secs(3);
 /// Increment that moves run numbers past those assigned by an earlier gateway.
 const RUN_NUMBER_INCREMENT: u32 = 16;
@@ -77,7 +77,7 @@
         if !is_current {
             return;
         }
-        job.placed -= 1;
+        job.placed_count -= 1;
         let is_proved_not_run = matches!(
             how,
             EndKind::NotStarted(reason) if reason != NotStartedReason::Refused
@@ -104,10 +104,10 @@
             return;
         };
         task.state = TaskState::Done;
-        let taken = now.since(task.placed);
+        let duration = now.since(task.placed_at);
         let step = &mut job.steps[id.step as usize];
         step.done += 1;
-        step.longest = step.longest.max(taken);
+        step.longest = step.longest.max(duration);
         let is_step_done = step.is_done();
         if is_step_done {
             self.run_times
@@ -246,9 +246,9 @@
         }
     }
 
-    /// Marks the tasks of agents lost that have been silent for so long that their leases have
-    /// expired, and drops agents that were disconnected for longer than
-    /// [`DISCONNECTED_AGENT_RETENTION`].
+    /// Marks as lost the tasks of agents that have been silent for so long that the leases have
+    /// expired. Removes disconnected agents without tasks that were last heard more than
+    /// [`DISCONNECTED_AGENT_RETENTION`] ago.
     pub(super) fn expire_silent_agents(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/gateway/events.rs
+++ b/laurelstile-core/src/leased/gateway/events.rs
@@ -27,7 +27,7 @@
     },
     /// A caller's connection closed before its answer was sent.
     CallerDisconnected {
-        /// Number under which the answer is returned.
+        /// Number of the unanswered call.
         call: CallNumber,
     },
     /// A caller requests the cancellation of a job.
@@ -222,11 +222,11 @@
     Placed {
         /// Id of the job.
         job: JobId,
-        /// Name of the agent beside the worker.
+        /// Name of the worker's agent.
         agent: String,
         /// Number of tasks in the batch.
         tasks: u32,
-        /// Age of the agent's report on which the choice was based.
+        /// Time since the latest message from the agent, with or without a report.
         report_age: Span,
         /// Time since the caller sent the job.
         age: Span,
@@ -235,7 +235,7 @@
     TaskReturned {
         /// Id of the ended run.
         run: RunId,
-        /// Name of the agent beside the worker.
+        /// Name of the worker's agent.
         agent: String,
         /// How the run ended.
         how: EndKind,
@@ -283,8 +283,8 @@
     Suspected {
         /// Id of the suspected task.
         task: TaskId,
-        /// Whether the job ends because of it; otherwise the task next runs exclusively on a
-        /// worker.
+        /// Whether the task is not started again, so that its job fails. Otherwise it next runs
+        /// exclusively on a worker, unless its job is given up because too many suspects wait.
         is_given_up: bool,
         /// Incarnations of the crashed workers.
         workers: Vec<Arc<str>>,
@@ -305,7 +305,7 @@
     },
     /// An agent was silent for so long that its tasks are considered lost.
     AgentExpired {
-        /// Name of the agent beside the worker.
+        /// Name of the agent.
         agent: String,
         /// Number of lost tasks.
         tasks: usize,
--- a/laurelstile-core/tests/leased_offers.rs
+++ b/laurelstile-core/tests/leased_offers.rs
@@ -18,7 +18,7 @@
 /// Session of a second gateway.
 const OTHER: SessionId = SessionId(80);
 
-fn waiting(job: u64, count: u32, rank: u32) -> Announcement {
+fn announcement(job: u64, count: u32, rank: u32) -> Announcement {
     Announcement {
         job: JobId(job),
         step: 0,
@@ -47,11 +47,11 @@
 #[test]
 fn freed_resources_are_offered_to_the_best_rank_only() {
     let mut rig = full_agent();
-    rig.message(at(10), ToAgentBody::Announce(vec![waiting(2, 1, 900)]));
+    rig.message(at(10), ToAgentBody::Announce(vec![announcement(2, 1, 900)]));
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 1, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
     assert_eq!(rig.offers(OTHER), vec![cpu(1_000)]);
@@ -65,7 +65,7 @@
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 1, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
     rig.take_starts();
@@ -80,11 +80,11 @@
 #[case::not_answered(false, 41)]
 fn unused_offers_go_to_the_next_rank(#[case] is_declined: bool, #[case] millis: u64) {
     let mut rig = full_agent();
-    rig.message(at(10), ToAgentBody::Announce(vec![waiting(2, 1, 900)]));
+    rig.message(at(10), ToAgentBody::Announce(vec![announcement(2, 1, 900)]));
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 1, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     end_run(&mut rig, at(30));
     if is_declined {
@@ -102,7 +102,7 @@
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 5, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 5, 400)]),
     );
     end_run(&mut rig, at(30));
     rig.tick(at(41));
@@ -121,7 +121,7 @@
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 1, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     let withdrawn = Announcement::withdrawn(JobId(3), 0);
     rig.message_from(at(11), OTHER, ToAgentBody::Announce(vec![withdrawn]));
@@ -135,7 +135,7 @@
     rig.message_from(
         at(10),
         OTHER,
-        ToAgentBody::Announce(vec![waiting(3, 1, 400)]),
+        ToAgentBody::Announce(vec![announcement(3, 1, 400)]),
     );
     rig.register(at(20), "life-1", cpu(1_000), true);
     end_run(&mut rig, at(30));
