--- a/laurelstile-core/src/agent/mod.rs
+++ b/laurelstile-core/src/agent/mod.rs
@@ -1,5 +1,6 @@
-//! The agent beside a back end. It owns the back end's slots, so gateways need
-//! no consensus among themselves to start tasks safely.
+//! The agent of a back end: starts tasks in the back end's slots at the request
+//! of gateways. The agent alone decides whether a task starts, so gateways need
+//! no consensus among themselves.
 
 mod outgoing;
 mod record;
@@ -20,8 +21,9 @@
 use crate::session::SessionId;
 use record::{Records, StartCheck};
 
-/// Maximum age of the clock reading echoed with a start. Bounds how late a
-/// delayed start can arrive at a back end that is leaving.
+/// Maximum age of the clock reading echoed with a start; an older start is
+/// refused. Bounds how late a delayed start can still take effect at a back end
+/// that is leaving.
 pub const MAX_START_ECHO_AGE: Span = Span::from_millis(4_500);
 /// A session that has received no message for this long is closed.
 pub const SESSION_TIMEOUT: Span = Span::from_secs(25);
@@ -119,12 +121,17 @@
 #[derive(Debug)]
 struct Link {
     gateway: Incarnation,
+    /// Starts processed in this session.
     processed: u64,
+    /// Whether a start was refused for lack of a free slot and no slot has been
+    /// offered since.
     awaits_slot: bool,
     last_heard: Timestamp,
     last_sent: Timestamp,
     results: Vec<TaskResult>,
     refusals: Vec<NotStarted>,
+    /// Whether free slots are reported to this gateway while any gateway waits
+    /// for one.
     has_offer: bool,
 }
 
@@ -140,8 +147,8 @@
 #[derive(Debug)]
 pub struct Agent {
     name: BackendName,
-    /// The full revision in force; `None` if the agent received only its own
-    /// membership.
+    /// The full revision in force; `None` if there is none or the agent
+    /// received only its own membership.
     revision: Option<Arc<Revision>>,
     revision_number: RevisionNumber,
     slots: u32,
@@ -391,11 +398,11 @@
                 }
             }
             RunEnd::Ended(outcome) => {
-                let run = self.records.finish(now, dispatch, outcome.clone());
+                let run_time = self.records.finish(now, dispatch, outcome.clone());
                 if let Some(link) = self.link_of(owner) {
                     link.results.push(TaskResult {
                         dispatch,
-                        run_micros: run.0,
+                        run_micros: run_time.0,
                         outcome,
                     });
                 }
--- a/laurelstile-core/src/agent/outgoing.rs
+++ b/laurelstile-core/src/agent/outgoing.rs
@@ -9,8 +9,8 @@
 use crate::session::SessionId;
 
 impl Agent {
-    /// Answers a gateway's heartbeat. Idle agents send none on their own;
-    /// gateways probe them for fresh reports and for liveness.
+    /// Answers a gateway's heartbeat. Idle agents send heartbeats only as
+    /// answers; gateways probe them for fresh reports and for liveness.
     pub(super) fn answer_heartbeat(
         &mut self,
         now: Timestamp,
@@ -111,14 +111,14 @@
         if offer {
             link.awaits_slot = false;
         }
-        let quiet = results.is_empty() && refusals.is_empty();
+        let nothing_sent = results.is_empty() && refusals.is_empty();
         if !refusals.is_empty() {
             self.send(now, session, FromAgentBody::NotStarted(refusals), effects);
         }
         if !results.is_empty() {
             self.send(now, session, FromAgentBody::Results(results), effects);
         }
-        if offer && quiet {
+        if offer && nothing_sent {
             self.send(now, session, FromAgentBody::Heartbeat, effects);
         }
     }
--- a/laurelstile-core/src/agent/record.rs
+++ b/laurelstile-core/src/agent/record.rs
@@ -12,8 +12,8 @@
 /// How long a fence is kept. Must exceed every job deadline, so that no start
 /// under a superseded delegation can arrive after the fence is gone.
 pub const FENCE_LIFETIME: Span = Span::from_millis(MAX_DEADLINE_MILLIS + 120_000);
-/// How long a record without a fence is kept past its job's deadline, after
-/// which no gateway starts or recovers a task of the job.
+/// How long after its job's deadline a record without a fence is kept. By then
+/// no gateway starts or recovers a task of the job any more.
 pub const RECORD_RETENTION: Span = Span::from_secs(60);
 
 /// Maximum total size of retained outputs, in bytes.
@@ -48,8 +48,8 @@
 struct Record {
     /// Minimum delegation number that may start tasks; 0 if never fenced.
     fence: DelegationNumber,
-    /// Whether the submission was released after it had been fenced; none of its
-    /// tasks may start any more.
+    /// Whether the submission is fenced and released and its tasks have ended;
+    /// none of them may start any more.
     closed: bool,
     /// Whether to remove the record once none of its tasks is running.
     released: bool,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Status of `dispatch`; `None` if it was never received.
+    /// Status of `dispatch`; `None` if there is no record of its start.
     pub fn status_of(&self, dispatch: DispatchId) -> Option<DispatchStatus> {
         let record = self.records.get(&dispatch.submission)?;
         let task = record.tasks.get(&dispatch.task)?;
@@ -252,8 +252,8 @@
     }
 
     /// Removes the record of an answered submission as soon as none of its
-    /// tasks is running. A fenced record stays closed until it expires, since
-    /// a superseded scheduler may still send starts.
+    /// tasks is running. A fenced record is closed instead and kept until it
+    /// expires, since a superseded scheduler may still send starts.
     pub fn release(&mut self, submission: SubmissionId) {
         if let Some(record) = self.records.get_mut(&submission) {
             record.released = true;
--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -13,9 +13,11 @@
 use crate::messages::peer::DelegationKey;
 use crate::session::{Remote, SessionId};
 
-/// Maximum delay before pending releases are sent without another message.
+/// Time without an outgoing message after which pending releases are sent in a
+/// heartbeat.
 const RELEASE_DELAY: Span = Span::from_millis(500);
-/// Number of pending releases at which they are sent without another message.
+/// Number of pending releases at which they are sent in a heartbeat at the next
+/// tick.
 const RELEASE_BATCH: usize = 256;
 
 impl Gateway {
--- a/laurelstile-core/src/gateway/entry.rs
+++ b/laurelstile-core/src/gateway/entry.rs
@@ -136,6 +136,8 @@
                 self.answer(now, id.number, Err(failure), effects);
             }
             ClaimOutcome::Unavailable => {
+                // The claim may have been written. In this phase `answer`
+                // releases it at once.
                 if let Some(submission) = self.submissions.get_mut(&id.number) {
                     submission.phase = Phase::Collecting;
                 }
@@ -451,7 +453,7 @@
 }
 
 impl Submission {
-    /// When the entry gateway answers even without a report of its scheduler.
+    /// When the entry gateway answers even if the scheduler has not reported.
     fn answer_deadline(&self) -> Timestamp {
         match self.phase {
             Phase::Claiming => self.deadline,
@@ -459,7 +461,7 @@
         }
     }
 
-    /// Run state that is certain in this phase.
+    /// Run state to report if the scheduler has not reported one.
     fn run_state(&self) -> RunState {
         match self.phase {
             Phase::Claiming => RunState::NotRun,
--- a/laurelstile-core/src/gateway/job.rs
+++ b/laurelstile-core/src/gateway/job.rs
@@ -41,7 +41,9 @@
     pub(super) running: BTreeMap<TaskIndex, RunningTask>,
     pub(super) outputs: Vec<TaskOutput>,
     pub(super) task_count: usize,
+    /// Agents to which tasks of the job were sent.
     pub(super) contacted: BTreeSet<LinkIndex>,
+    /// Rank in the queue; `None` if no task is waiting.
     pub(super) rank: Option<Rank>,
 }
 
@@ -60,13 +62,14 @@
             .map_or(Span::default(), |delegated_at| now.since(delegated_at))
     }
 
-    pub(super) fn remaining(&self) -> Span {
+    /// Expected run time of all waiting tasks together.
+    pub(super) fn remaining_work(&self) -> Span {
         Span(self.mean_run_time.0 * self.waiting.len() as u64)
     }
 
     pub(super) fn rank_input(&self) -> RankInput {
         RankInput {
-            remaining: self.remaining(),
+            remaining_work: self.remaining_work(),
             weight: self.weight,
             arrival: self.arrival,
         }
@@ -82,8 +85,8 @@
 }
 
 impl MeanRunTime {
-    pub(super) fn record_run_time(&mut self, run: Span) {
-        self.0 += MEAN_SMOOTHING * (Self::from(run).0 - self.0);
+    pub(super) fn record_run_time(&mut self, run_time: Span) {
+        self.0 += MEAN_SMOOTHING * (Self::from(run_time).0 - self.0);
     }
 
     pub(super) fn span(self) -> Span {
--- a/laurelstile-core/src/gateway/links.rs
+++ b/laurelstile-core/src/gateway/links.rs
@@ -1,5 +1,5 @@
 //! A gateway's view of the agents: sessions, free slots, unresolved dispatches
-//! and recent speed.
+//! and recent slowness.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,7 +56,7 @@
     pub slots: u32,
     pub session: Option<SessionId>,
     pub incarnation: Option<Incarnation>,
-    /// When that incarnation started, on this gateway's clock.
+    /// When `incarnation` started, on this gateway's clock.
     pub incarnation_started_at: Timestamp,
     /// The latest report in this session.
     pub report: SlotReport,
@@ -82,7 +82,10 @@
     pub pushed_revision: u64,
     /// Whether the agent was notified in this session that it is leaving.
     pub leaving_notified: bool,
+    /// Moving average of run times relative to the mean of their class; above 1
+    /// is slower than the mean.
     slowness: f64,
+    /// Position in the order of preference; `None` without an available slot.
     preference: Option<Preference>,
 }
 
@@ -106,8 +109,8 @@
         now.since(self.last_heard) <= max_age
     }
 
-    /// Slots that a probe would probably make available; 0 if the last report
-    /// is fresh or a probe was just sent.
+    /// Slots that a probe would probably make available; 0 if the agent is not
+    /// to be probed now.
     fn expected_slots(&self, now: Timestamp) -> u32 {
         let should_probe = self.is_in_service()
             && !self.is_fresh(now)
@@ -141,9 +144,9 @@
     }
 
     /// Updates the slowness with a run time relative to the mean of its class.
-    pub fn update_slowness(&mut self, run: Span, mean: Span) {
+    pub fn update_slowness(&mut self, run_time: Span, mean: Span) {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-        let ratio = run.0 as f64 / mean.0.max(1) as f64;
+        let ratio = run_time.0 as f64 / mean.0.max(1) as f64;
         self.slowness += SLOWNESS_SMOOTHING * (ratio - self.slowness);
     }
 }
@@ -229,14 +232,13 @@
 
     /// Whether an agent receives full revisions, which it can pass on to
     /// gateways that cannot read the table. At least
-    /// [`MIN_FULL_REVISION_AGENTS`] agents do, spread evenly over the
-    /// configuration.
+    /// [`MIN_FULL_REVISION_AGENTS`] agents do, spread evenly over all links.
     pub fn receives_full_revisions(&self, index: LinkIndex) -> bool {
         let stride = (self.links.len() / MIN_FULL_REVISION_AGENTS).max(1);
         index.0.is_multiple_of(stride)
     }
 
-    /// Links with an open session and something to recover or cancel.
+    /// Links with an open session and pending fences or cancellations.
     pub fn with_pending_commands(&self) -> Vec<LinkIndex> {
         self.iter()
             .filter(|(_, link)| !link.pending_fences.is_empty() || !link.pending_cancels.is_empty())
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -36,7 +36,8 @@
 
 pub use submission::{ClaimRequest, JobRequest};
 
-/// A gap between two events that indicates that the process was suspended.
+/// Minimum gap between two events that indicates that the process was
+/// suspended.
 const SUSPENSION_THRESHOLD: Span = Span::from_secs(2);
 /// How long starts are held after a suspension, or in a new process that has
 /// not read the machine list.
@@ -184,7 +185,8 @@
     pub name: GatewayName,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Zone in which the gateway runs; its agents are preferred.
+    /// Zone in which the gateway runs. Among otherwise equal agents, those in
+    /// the same zone are preferred.
     pub zone: ZoneName,
 }
 
@@ -251,7 +253,8 @@
         !self.stopping && self.revision.is_some()
     }
 
-    /// Number of results that arrived for jobs no longer scheduled here.
+    /// Number of results that agents reported during reconciliation for
+    /// dispatches that are no longer running here.
     pub fn late_results(&self) -> u64 {
         self.scheduler.late_results()
     }
@@ -343,8 +346,9 @@
         }
     }
 
-    /// A suspended process resumes with stale state. Holds starts until the
-    /// machine list and the messages of other gateways could be read.
+    /// Holds starts for [`START_HOLD_OFF`] after a suspension. The process
+    /// resumes with stale state and first has to read the machine list and the
+    /// messages of other gateways.
     fn detect_suspension(&mut self, now: Timestamp) {
         if now.since(self.last_handled) > SUSPENSION_THRESHOLD {
             self.starts_held_until = now.after(START_HOLD_OFF);
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -16,8 +16,8 @@
 };
 use crate::session::{Remote, SessionId};
 
-/// Maximum delay before pending acknowledgements are sent without another
-/// message.
+/// Time without an outgoing message after which pending acknowledgements are
+/// sent in a heartbeat.
 const ACKNOWLEDGE_DELAY: Span = Span::from_millis(250);
 
 impl Gateway {
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -39,7 +39,7 @@
     /// The latest reading of the peer's clock; `None` for an incarnation that
     /// has not sent a message.
     pub clock: Option<Timestamp>,
-    /// Whether it accepts no new delegations.
+    /// Whether the peer accepts no new delegations.
     pub stopping: bool,
     /// Revision in force at the peer.
     pub revision: RevisionNumber,
@@ -49,7 +49,8 @@
     pub pending_acknowledgements: Vec<SubmissionId>,
     /// Delegations from this gateway to the peer, with the time of sending.
     pub outstanding: BTreeMap<DelegationKey, Timestamp>,
-    /// Whether its jobs were dropped since the last message.
+    /// Whether the jobs delegated by the peer have been dropped since its last
+    /// message.
     pub jobs_dropped: bool,
 }
 
--- a/laurelstile-core/src/gateway/queue.rs
+++ b/laurelstile-core/src/gateway/queue.rs
@@ -11,16 +11,16 @@
 /// microsecond of remaining work per slot and weight. See docs/decisions/0002.
 const AGEING_PERMILLE: u64 = 20;
 
-/// Position of a job in the queue; the lowest is dispatched first.
+/// Sort key of a job in the queue; the lowest is dispatched first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(u64);
 
 /// Properties of a job that determine its rank.
 #[derive(Clone, Copy, Debug)]
 pub struct RankInput {
-    /// Expected run time of all its waiting tasks together.
-    pub remaining: Span,
-    /// Weight of its tenant.
+    /// Expected run time of all waiting tasks together.
+    pub remaining_work: Span,
+    /// Weight of the tenant.
     pub weight: u32,
     pub arrival: Timestamp,
 }
@@ -98,7 +98,7 @@
     pub fn rank(&self, input: RankInput) -> Rank {
         let share = u64::from(self.slots) * u64::from(input.weight.max(1));
         let arrival_offset = input.arrival.0 / 1_000 * AGEING_PERMILLE;
-        Rank(input.remaining.0 / share + arrival_offset)
+        Rank(input.remaining_work.0 / share + arrival_offset)
     }
 
     /// Inserts a job that has waiting tasks.
--- a/laurelstile-core/src/gateway/recovery.rs
+++ b/laurelstile-core/src/gateway/recovery.rs
@@ -55,7 +55,7 @@
         effects: &mut Vec<GatewayEffect>,
     ) {
         let number = recovered.fence.submission.number;
-        let started = self.links.get(index).incarnation_started_at;
+        let incarnation_started_at = self.links.get(index).incarnation_started_at;
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
         };
@@ -64,9 +64,9 @@
             return;
         }
         submission.fenced_on.insert(index);
-        // An incarnation younger than the submission does not know what its
-        // predecessor started.
-        submission.starts_unknown |= started > submission.accepted_at;
+        // An incarnation that started after the submission was accepted does
+        // not know which tasks the previous one started.
+        submission.starts_unknown |= incarnation_started_at > submission.accepted_at;
         let mut failed = None;
         for (task, status) in recovered.tasks {
             match status {
@@ -96,7 +96,8 @@
         self.answer_if_complete(now, number, effects);
     }
 
-    /// Continues once all agents have reported.
+    /// Once all agents have reported, delegates the missing tasks again, or
+    /// fails the submission if they may have started without a record.
     fn finish_recovery(&mut self, now: Timestamp, number: u64, effects: &mut Vec<GatewayEffect>) {
         let Some(submission) = self.submissions.get_mut(&number) else {
             return;
--- a/laurelstile-core/src/gateway/scheduler/delegations.rs
+++ b/laurelstile-core/src/gateway/scheduler/delegations.rs
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Sends back jobs that have no started task and that no agent accepts,
-    /// because all agents joined the pool after the delegation. Delegating
-    /// them again gives them a later delegation time.
+    /// Sends back jobs of which no task was dispatched and which no agent
+    /// accepts, because all agents joined the pool after the delegation.
+    /// Delegating them again gives them a later delegation time.
     pub fn send_back_stale(&mut self, now: Timestamp, links: &mut Links) {
         let stale: Vec<SubmissionId> = self
             .jobs
@@ -57,8 +57,8 @@
         self.acknowledge(key.submission, links);
     }
 
-    /// Handles the acknowledgement of a job's end: agents may discard its
-    /// records.
+    /// Handles the acknowledgement of a job's end: agents may discard their
+    /// records of the job.
     pub fn acknowledge(&mut self, submission: SubmissionId, links: &mut Links) {
         if let Some(ended) = self.ended.remove(&submission) {
             queue_release(submission, &ended.contacted, links);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Discards the jobs of `entry` that are not in `outstanding`: that
+    /// Discards the jobs of `entry` that are not in `outstanding`, since that
     /// gateway has recovered or abandoned them.
     pub fn retain_delegations(
         &mut self,
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Updates the slots on which waiting times are estimated. A pool that is
-    /// not in `slots` keeps its number.
+    /// Updates the numbers of slots from which waiting times are estimated. A
+    /// pool that is not in `slots` keeps its number.
     pub fn set_slots_in_service(&mut self, slots: &BTreeMap<PoolName, u32>) {
         for (pool, slots) in slots {
             if let Some(queue) = self.queues.get_mut(pool) {
@@ -103,16 +103,17 @@
             .collect()
     }
 
-    /// Number of results that arrived for jobs no longer scheduled here.
+    /// Number of results that agents reported during reconciliation for
+    /// dispatches that are no longer running here.
     pub fn late_results(&self) -> u64 {
         self.late_results
     }
 
     /// Whether this delegation is known here, ended or not.
     pub fn contains(&self, key: DelegationKey) -> bool {
-        let running = self.jobs.get(&key.submission).map(|job| job.key);
+        let active = self.jobs.get(&key.submission).map(|job| job.key);
         let ended = self.ended.get(&key.submission).map(|ended| ended.end.key);
-        running == Some(key) || ended == Some(key)
+        active == Some(key) || ended == Some(key)
     }
 
     /// Whether the outcome of `dispatch` is still expected here.
@@ -126,7 +127,8 @@
     ///
     /// # Errors
     ///
-    /// The reason for the refusal; none of its tasks was or will be started.
+    /// The reason for the refusal; no task of the delegation was or will be
+    /// started.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -135,7 +137,8 @@
         configuration: &Configuration,
         links: &mut Links,
     ) -> Result<(), Failure> {
-        // An earlier delegation of the submission has been recovered.
+        // An earlier delegation of the submission has been recovered and is
+        // obsolete.
         self.discard(delegation.key.submission, links);
         let mean_run_time =
             self.mean_run_time(configuration, &delegation.service, &delegation.class);
@@ -203,10 +206,10 @@
         let wait = queue.backlog_before(rank, |submission| {
             self.jobs
                 .get(&submission)
-                .map_or(Span::default(), Job::remaining)
+                .map_or(Span::default(), Job::remaining_work)
         });
         let own_run_time =
-            Span(job.remaining().0 / u64::from(queue.slots())).max(job.mean_run_time);
+            Span(job.remaining_work().0 / u64::from(queue.slots())).max(job.mean_run_time);
         if wait.0 + own_run_time.0 > time_left.0 {
             return refuse(Reason::DeadlineUnreachable);
         }
@@ -330,7 +333,7 @@
                 queue.remove(&job.tenant, rank, submission);
             }
             let waiting = u32::try_from(job.waiting.len()).unwrap_or(u32::MAX);
-            queue.remove_tasks(&job.tenant, waiting, job.remaining());
+            queue.remove_tasks(&job.tenant, waiting, job.remaining_work());
             for _ in &job.running {
                 queue.vacate_slot(&job.tenant);
             }
--- a/laurelstile-core/src/gateway/scheduler/tasks.rs
+++ b/laurelstile-core/src/gateway/scheduler/tasks.rs
@@ -103,7 +103,7 @@
         &mut self,
         now: Timestamp,
         dispatch: DispatchId,
-        run: Span,
+        run_time: Span,
         outcome: TaskOutcome,
         links: &mut Links,
     ) {
@@ -114,7 +114,7 @@
         let submission = dispatch.submission;
         match outcome {
             TaskOutcome::Output(output) => {
-                self.record_run_time(submission, link, run, links);
+                self.record_run_time(submission, link, run_time, links);
                 let Some(job) = self.jobs.get_mut(&submission) else {
                     return;
                 };
@@ -251,7 +251,7 @@
         &mut self,
         submission: SubmissionId,
         link: LinkIndex,
-        run: Span,
+        run_time: Span,
         links: &mut Links,
     ) {
         let Some(job) = self.jobs.get(&submission) else {
@@ -262,7 +262,7 @@
             .mean_run_times
             .entry(key)
             .or_insert_with(|| MeanRunTime::from(job.mean_run_time));
-        mean.record_run_time(run);
-        links.get_mut(link).update_slowness(run, mean.span());
+        mean.record_run_time(run_time);
+        links.get_mut(link).update_slowness(run_time, mean.span());
     }
 }
--- a/laurelstile-core/src/gateway/submission.rs
+++ b/laurelstile-core/src/gateway/submission.rs
@@ -87,7 +87,8 @@
     pub running_on: BTreeMap<TaskIndex, LinkIndex>,
     /// Agents that hold a fence for the submission.
     pub fenced_on: BTreeSet<LinkIndex>,
-    /// Whether an agent that may have started tasks of it has lost its records.
+    /// Whether an agent that may have started tasks of the submission has lost
+    /// its records.
     pub starts_unknown: bool,
     /// The claim; `None` for a repeatable class or if another submission holds
     /// it.
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Tasks that have no output and are not running under a direct report.
+    /// Tasks without an output, except recovered ones that are still running.
     pub fn missing_tasks(&self) -> Vec<DelegatedTask> {
         let mut missing = Vec::new();
         for (index, output) in (0..).zip(&self.outputs) {
--- a/laurelstile-core/src/messages/agent.rs
+++ b/laurelstile-core/src/messages/agent.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ToAgent {
     /// The latest reading of the agent's clock that the gateway has received.
-    /// The agent refuses starts with an older reading than it allows.
+    /// The agent refuses starts whose reading is too old.
     pub echo: Timestamp,
     /// Revision in force at the gateway; 0 if none.
     pub revision: RevisionNumber,
@@ -32,17 +32,20 @@
     Heartbeat,
     /// Starts tasks, one slot each.
     Start(Vec<StartTask>),
-    /// Requests the status of these dispatches after a new session.
+    /// After a reconnect: requests the status of these dispatches, whose
+    /// outcome is unknown to the gateway.
     Reconcile(Vec<DispatchId>),
     /// Fences superseded delegations of these submissions, requests a report
     /// of the started tasks, and redirects their results to this gateway.
     Recover(Vec<Fence>),
-    /// Stops the running tasks of these submissions.
+    /// Stops those running tasks of these submissions whose results go to this
+    /// gateway.
     Cancel(Vec<SubmissionId>),
     /// A revision newer than the agent's, in full, so that the agent can pass
     /// it on to other gateways.
     Revision(Arc<Revision>),
-    /// The agent's own part of a revision newer than the agent's.
+    /// Of a revision newer than the agent's, only the part that concerns its
+    /// back end.
     Membership(Membership),
     /// The machine list marks the agent's machine as leaving.
     Leaving,
@@ -83,12 +86,12 @@
     pub service: ServiceName,
     /// Class of the task within the service.
     pub class: ClassName,
-    /// Upper bound of the time since the entry gateway delegated the task. An
-    /// agent that joined its pool later refuses the task, as it may have
-    /// missed a fence.
+    /// Upper bound of the time since the entry gateway delegated the task; zero
+    /// if the entry gateway schedules it itself. An agent that joined its pool
+    /// after the delegation refuses the task, as it may have missed a fence.
     pub age: Span,
-    /// Time left until the job's deadline. Until then the agent retains the
-    /// output, unless it is released earlier.
+    /// Time left until the job's deadline. The agent keeps its record of the
+    /// task at least until then, unless it is released earlier.
     pub time_left: Span,
     /// Opaque input passed to the back end.
     pub input: Payload,
@@ -125,8 +128,8 @@
     pub processed: u64,
     /// Whether the agent refuses new work.
     pub draining: bool,
-    /// When the back end was last added to the configuration, on the agent's
-    /// clock.
+    /// When the agent last joined its pool, by applying a revision that adds
+    /// its back end; on the agent's clock.
     pub member_since: Timestamp,
 }
 
@@ -173,7 +176,8 @@
     Unknown,
     /// Stopped at the request of a gateway.
     Cancelled,
-    /// The task ended, but its output exceeded the agent's retention limit.
+    /// The task ended, but its output was not retained, since the retained
+    /// outputs would have exceeded the agent's limit.
     OutputLost,
 }
 
@@ -221,7 +225,7 @@
 /// Status of a dispatch at its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchStatus {
-    /// Never received, and no longer able to arrive: its session is closed.
+    /// Not started, and no longer able to arrive: its session is closed.
     NeverReceived,
     /// Started and still running.
     Running,
--- a/laurelstile-core/src/messages/mod.rs
+++ b/laurelstile-core/src/messages/mod.rs
@@ -1,4 +1,5 @@
-//! Messages exchanged by gateways and agents of the slot path.
+//! Messages exchanged by the gateways and agents of back ends with slots. For
+//! those of leased workers see [`crate::leased::messages`].
 
 pub mod agent;
 mod kinds;
--- a/laurelstile-core/src/messages/peer.rs
+++ b/laurelstile-core/src/messages/peer.rs
@@ -79,7 +79,7 @@
     pub tenant: TenantName,
     /// Time left until the job's deadline.
     pub time_left: Span,
-    /// Tasks that have neither ended nor are running under recovery.
+    /// Tasks that have neither ended nor been recovered as still running.
     pub tasks: Vec<DelegatedTask>,
 }
 
--- a/laurelstile-core/src/payload.rs
+++ b/laurelstile-core/src/payload.rs
@@ -1,11 +1,11 @@
-//! Opaque input or output of a task; cheap to clone.
+//! Task data that laurelstile does not interpret.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Opaque input or output of a task.
+/// Opaque input or output of a task. Clones share one buffer.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Payload(Arc<[u8]>);
 
--- a/laurelstile-core/src/rendezvous.rs
+++ b/laurelstile-core/src/rendezvous.rs
@@ -2,8 +2,9 @@
 //! election. Gateways with the same set of live peers select the same one. If
 //! their views differ, starts are still safe because the agents own the slots.
 //!
-//! Based on the section on embedded weighted rendezvous routing of the paper.
-//! For the use of one scheduler per pool see docs/decisions/0001.
+//! Based on the section "Embedded weighted rendezvous routing" of "Mooncake
+//! Store-RS Features", but without weights. For the reasons see
+//! docs/decisions/0001.
 
 use laurelstile_types::id::{GatewayName, PoolName};
 use twox_hash::XxHash64;
--- a/laurelstile-core/src/session.rs
+++ b/laurelstile-core/src/session.rs
@@ -8,14 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// The process at the other end of a session, as announced in its hello.
+/// The process at the other end of a session, as announced in its hello
+/// message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Remote {
     /// Name of the gateway or back end.
     pub name: String,
     /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// How long the process had been running when it sent its hello.
+    /// How long the process had been running when it sent its hello
+    /// message.
     pub uptime: Span,
 }
 
--- a/laurelstile-core/tests/agent.rs
+++ b/laurelstile-core/tests/agent.rs
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn an_output_is_retained_until_it_is_released() {
+fn an_unreleased_output_is_reported_to_a_recovering_gateway() {
     let mut harness = Harness::new();
     harness.start(SESSION, 0, 1);
     harness.finish(0, output());
@@ -369,14 +369,14 @@
     assert!(harness.started_tasks().is_empty());
     let reconcile = ToAgentBody::Reconcile(vec![dispatch(0, 1)]);
     harness.send(session, reconcile);
-    let statuses = harness.effects.iter().find_map(|effect| match effect {
+    let status = harness.effects.iter().find_map(|effect| match effect {
         AgentEffect::Send { message, .. } => match &message.body {
             FromAgentBody::Reconciled(answers) => Some(answers[0].status.clone()),
             _ => None,
         },
         _ => None,
     });
-    assert_eq!(statuses, Some(DispatchStatus::NeverReceived));
+    assert_eq!(status, Some(DispatchStatus::NeverReceived));
 }
 
 #[test]
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -1,7 +1,7 @@
 //! Property tests of the agent's state machine: with random events of two
 //! gateways, including disconnects and recoveries, no task runs twice, slots
-//! are never exceeded, and fences and drains hold. The random generator has a
-//! fixed seed.
+//! are never exceeded, and nothing starts under a superseded delegation or on a
+//! draining agent. The random generator has a fixed seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     },
     Finish {
         index: usize,
-        reached: bool,
+        backend_reached: bool,
     },
     Recover {
         gateway: u64,
@@ -68,7 +68,7 @@
             }
         ),
         6 => (0..4_usize, prop::bool::weighted(0.8))
-            .prop_map(|(index, reached)| Step::Finish { index, reached }),
+            .prop_map(|(index, backend_reached)| Step::Finish { index, backend_reached }),
         2 => (gateway.clone(), submission.clone(), 2..4_u32).prop_map(
             |(gateway, submission, delegation)| Step::Recover { gateway, submission, delegation }
         ),
@@ -132,7 +132,10 @@
                 };
                 self.send(gateway, ToAgentBody::Start(vec![start]))
             }
-            Step::Finish { index, reached } => self.finish(index, reached),
+            Step::Finish {
+                index,
+                backend_reached,
+            } => self.finish(index, backend_reached),
             Step::Recover {
                 gateway,
                 submission,
@@ -185,12 +188,12 @@
         self.send(gateway, ToAgentBody::Membership(membership))
     }
 
-    fn finish(&mut self, index: usize, reached: bool) -> Result<(), TestCaseError> {
+    fn finish(&mut self, index: usize, backend_reached: bool) -> Result<(), TestCaseError> {
         if index >= self.running.len() {
             return Ok(());
         }
         let dispatch = self.running.remove(index);
-        let end = if reached {
+        let end = if backend_reached {
             RunEnd::Ended(TaskOutcome::Output(Payload::from(vec![1])))
         } else {
             // The task did not start, so it may start again.
--- a/laurelstile-core/tests/gateway.rs
+++ b/laurelstile-core/tests/gateway.rs
@@ -24,7 +24,7 @@
 const AGENT: SessionId = SessionId(1);
 const SLOTS: u32 = 4;
 
-/// A gateway with one agent of four slots.
+/// A gateway with one agent of [`SLOTS`] slots.
 struct Harness {
     gateway: Gateway,
     now: Timestamp,
@@ -387,7 +387,7 @@
     assert_eq!(harness.failure(2), taken);
     let unavailable = Some((RunState::NotRun, Reason::ClaimUnavailable));
     assert_eq!(harness.failure(3), unavailable);
-    // An unavailable table may still have written the claim.
+    // The claim is released because the unavailable table may have written it.
     assert_eq!(harness.released_claims, 1);
 }
 
