--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -51,7 +51,7 @@
 
     /// Nothing listens at the agent's address: the process that had the tasks
     /// has ended, and their outcome cannot be determined.
-    pub(super) fn on_agent_refused(
+    pub(super) fn on_agent_connection_refused(
         &mut self,
         now: Timestamp,
         backend: &BackendName,
--- a/laurelstile-core/src/gateway/mod.rs
+++ b/laurelstile-core/src/gateway/mod.rs
@@ -73,7 +73,7 @@
         remote: Remote,
     },
     /// An agent's host refused the connection: no process is listening there.
-    AgentRefused {
+    AgentConnectionRefused {
         /// Name of the agent's back end.
         backend: BackendName,
     },
@@ -278,8 +278,8 @@
             GatewayEvent::AgentOpened { session, remote } => {
                 self.on_agent_opened(now, session, &remote, effects);
             }
-            GatewayEvent::AgentRefused { backend } => {
-                self.on_agent_refused(now, &backend, effects);
+            GatewayEvent::AgentConnectionRefused { backend } => {
+                self.on_agent_connection_refused(now, &backend, effects);
             }
             GatewayEvent::AgentClosed { session } => {
                 self.links.close(now, session);
--- a/laurelstile-sim/src/world/network.rs
+++ b/laurelstile-sim/src/world/network.rs
@@ -122,7 +122,7 @@
                 && !is_held
             {
                 let backend = BackendName(agent_name(agent));
-                let event = GatewayEvent::AgentRefused { backend };
+                let event = GatewayEvent::AgentConnectionRefused { backend };
                 self.tell_gateway(gateway, dialer, event);
             }
             self.schedule(self.now + REFUSED_REDIAL, SimEvent::Dial(link));
--- a/laurelstiled/src/gateway/dial.rs
+++ b/laurelstiled/src/gateway/dial.rs
@@ -92,7 +92,7 @@
         let error = run_session(&target, &context).await;
         let is_refused = matches!(error, WireError::Refused);
         if is_refused {
-            let _ = input.send(DriverInput::Event(GatewayEvent::AgentRefused {
+            let _ = input.send(DriverInput::Event(GatewayEvent::AgentConnectionRefused {
                 backend: target.backend.clone(),
             }));
         } else {
