--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -219,13 +219,13 @@
 
     pub(super) fn flush_agents(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for index in self.links.with_pending_commands() {
-            let recover = std::mem::take(&mut self.links.get_mut(index).pending_fences);
-            if !recover.is_empty() {
-                self.send_to_agent(now, index, ToAgentBody::Recover(recover), effects);
+            let fences = std::mem::take(&mut self.links.get_mut(index).pending_fences);
+            if !fences.is_empty() {
+                self.send_to_agent(now, index, ToAgentBody::Recover(fences), effects);
             }
-            let cancel = std::mem::take(&mut self.links.get_mut(index).pending_cancels);
-            if !cancel.is_empty() {
-                self.send_to_agent(now, index, ToAgentBody::Cancel(cancel), effects);
+            let submissions = std::mem::take(&mut self.links.get_mut(index).pending_cancels);
+            if !submissions.is_empty() {
+                self.send_to_agent(now, index, ToAgentBody::Cancel(submissions), effects);
             }
         }
         if now < self.starts_held_until {
--- a/laurelstile-core/src/gateway/links.rs
+++ b/laurelstile-core/src/gateway/links.rs
@@ -11,11 +11,11 @@
 use crate::messages::agent::{Fence, SlotReport};
 use crate::session::{Remote, SessionId};
 
-/// Maximum age of the last message of an agent with unresolved dispatches that
-/// still gets starts.
+/// An agent with unresolved dispatches gets no starts if its last message is
+/// older than this.
 pub const MAX_BUSY_REPORT_AGE: Span = Span::from_secs(2);
-/// Maximum age of the last message of an idle agent that still gets starts; an
-/// older report is refreshed by a probe first.
+/// An agent without unresolved dispatches gets no starts if its last message is
+/// older than this; it is probed for a fresh report first.
 pub const MAX_IDLE_REPORT_AGE: Span = Span::from_secs(3);
 /// Heartbeat interval to an idle agent that has not been heard from.
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_secs(8);
@@ -158,6 +158,7 @@
     links: Vec<Link>,
     by_name: BTreeMap<BackendName, LinkIndex>,
     by_session: BTreeMap<SessionId, LinkIndex>,
+    /// Agents with an available slot by pool, in order of preference.
     available: BTreeMap<PoolName, BTreeSet<(Preference, LinkIndex)>>,
 }
 
--- a/laurelstile-core/src/gateway/peering.rs
+++ b/laurelstile-core/src/gateway/peering.rs
@@ -28,17 +28,17 @@
         remote: &Remote,
         effects: &mut Vec<GatewayEffect>,
     ) {
-        let reopened = self.peers.open(now, session, remote);
-        if let Some(old) = reopened.old_session {
+        let opened = self.peers.open(now, session, remote);
+        if let Some(old) = opened.old_session {
             effects.push(GatewayEffect::Close(old));
         }
-        if let Some(lost) = reopened.lost_incarnation {
+        if let Some(lost) = opened.lost_incarnation {
             self.scheduler.on_entry_lost(lost, &mut self.links);
-            self.recover_from(now, &reopened.name, effects);
+            self.recover_from(now, &opened.name, effects);
         }
-        let outstanding = self.outstanding_at(&reopened.name);
+        let outstanding = self.outstanding_at(&opened.name);
         let body = ToPeerBody::Outstanding(outstanding);
-        self.send_to_peer(now, &reopened.name, body, effects);
+        self.send_to_peer(now, &opened.name, body, effects);
         let leaving: Vec<BackendName> = self
             .links
             .iter()
@@ -47,11 +47,11 @@
             .collect();
         if !leaving.is_empty() {
             let body = ToPeerBody::Leaving(leaving);
-            self.send_to_peer(now, &reopened.name, body, effects);
+            self.send_to_peer(now, &opened.name, body, effects);
         }
         for end in self.scheduler.unacknowledged(remote.incarnation) {
             let body = ToPeerBody::Done(Box::new(end));
-            self.send_to_peer(now, &reopened.name, body, effects);
+            self.send_to_peer(now, &opened.name, body, effects);
         }
     }
 
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -20,8 +20,8 @@
 /// Maximum age of the clock reading echoed with a delegation. An older
 /// delegation may have been recovered in the meantime and is sent back.
 pub const MAX_DELEGATION_ECHO_AGE: Span = Span::from_secs(5);
-/// Time after the loss of a session at which delegations to the peer are
-/// recovered.
+/// How long a peer may take to reconnect after the loss of a session before
+/// delegations to it are recovered.
 pub const RECONNECT_GRACE: Span = Span::from_secs(1);
 /// Time without a message after which the jobs delegated by a peer are
 /// dropped.
@@ -83,7 +83,7 @@
 impl Peers {
     /// Records a new session; returns the session and the incarnation that it
     /// replaces.
-    pub fn open(&mut self, now: Timestamp, session: SessionId, remote: &Remote) -> Reopened {
+    pub fn open(&mut self, now: Timestamp, session: SessionId, remote: &Remote) -> OpenedSession {
         let name = GatewayName(remote.name.clone());
         let peer = self.by_name.entry(name.clone()).or_insert_with(|| Peer {
             session: None,
@@ -110,7 +110,7 @@
         peer.pushed_revision = 0;
         peer.stopping = false;
         peer.jobs_dropped = false;
-        Reopened {
+        OpenedSession {
             name,
             old_session,
             lost_incarnation,
@@ -157,9 +157,9 @@
     }
 }
 
-/// What a new session of a peer replaces.
+/// A newly opened session of a peer and what it replaces.
 #[derive(Debug)]
-pub struct Reopened {
+pub struct OpenedSession {
     pub name: GatewayName,
     /// The previous session, if it was open.
     pub old_session: Option<SessionId>,
--- a/laurelstile-core/src/gateway/scheduler/mod.rs
+++ b/laurelstile-core/src/gateway/scheduler/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler of a pool: queues delegated jobs, dispatches their tasks to
-//! free slots, and collects the outputs.
+//! The scheduler for the jobs delegated to this gateway: queues them by pool,
+//! dispatches their tasks to free slots, and collects the outputs.
 
 mod delegations;
 mod tasks;
--- a/laurelstile-core/src/rendezvous.rs
+++ b/laurelstile-core/src/rendezvous.rs
@@ -1,6 +1,7 @@
-//! Rendezvous hashing: selects the gateway that schedules a pool without an
-//! election. Gateways with the same set of live peers select the same one. If
-//! their views differ, starts are still safe because the agents own the slots.
+//! Rendezvous hashing: selects, without an election, the gateway that schedules
+//! a pool. Gateways with the same set of live peers select the same one. If
+//! their views differ, starts are still safe because only the agents decide what
+//! starts.
 //!
 //! Based on the section "Embedded weighted rendezvous routing" of "Mooncake
 //! Store-RS Features", but without weights. For the reasons see
