--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -39,7 +39,8 @@
     },
     Finish {
         index: usize,
-        backend_reached: bool,
+        /// Whether the back end could be reached to start the task.
+        reached: bool,
     },
     Recover {
         gateway: u64,
@@ -68,7 +69,7 @@
             }
         ),
         6 => (0..4_usize, prop::bool::weighted(0.8))
-            .prop_map(|(index, backend_reached)| Step::Finish { index, backend_reached }),
+            .prop_map(|(index, reached)| Step::Finish { index, reached }),
         2 => (gateway.clone(), submission.clone(), 2..4_u32).prop_map(
             |(gateway, submission, delegation)| Step::Recover { gateway, submission, delegation }
         ),
@@ -132,10 +133,7 @@
                 };
                 self.send(gateway, ToAgentBody::Start(vec![start]))
             }
-            Step::Finish {
-                index,
-                backend_reached,
-            } => self.finish(index, backend_reached),
+            Step::Finish { index, reached } => self.finish(index, reached),
             Step::Recover {
                 gateway,
                 submission,
@@ -188,12 +186,12 @@
         self.send(gateway, ToAgentBody::Membership(membership))
     }
 
-    fn finish(&mut self, index: usize, backend_reached: bool) -> Result<(), TestCaseError> {
+    fn finish(&mut self, index: usize, reached: bool) -> Result<(), TestCaseError> {
         if index >= self.running.len() {
             return Ok(());
         }
         let dispatch = self.running.remove(index);
-        let end = if backend_reached {
+        let end = if reached {
             RunEnd::Ended(TaskOutcome::Output(Payload::from(vec![1])))
         } else {
             // The task did not start, so it may start again.
