--- a/laurelstile-core/src/gateway/agents.rs
+++ b/laurelstile-core/src/gateway/agents.rs
@@ -13,9 +13,11 @@
 use crate::messages::peer::DelegationKey;
 use crate::session::{Remote, SessionId};
 
-/// Maximum delay before pending releases are sent without another message.
+/// Time without an outgoing message after which pending releases are sent in a
+/// heartbeat.
 const RELEASE_DELAY: Span = Span::from_millis(500);
-/// Number of pending releases at which they are sent without another message.
+/// Number of pending releases at which they are sent in a heartbeat at the next
+/// tick.
 const RELEASE_BATCH: usize = 256;
 
 impl Gateway {
@@ -49,7 +51,7 @@
 
     /// Nothing listens at the agent's address: the process that had the tasks
     /// has ended, and their outcome cannot be determined.
-    pub(super) fn on_agent_refused(
+    pub(super) fn on_agent_connection_refused(
         &mut self,
         now: Timestamp,
         backend: &BackendName,
@@ -217,13 +219,13 @@
 
     pub(super) fn flush_agents(&mut self, now: Timestamp, effects: &mut Vec<GatewayEffect>) {
         for index in self.links.with_pending_commands() {
-            let recover = std::mem::take(&mut self.links.get_mut(index).pending_fences);
-            if !recover.is_empty() {
-                self.send_to_agent(now, index, ToAgentBody::Recover(recover), effects);
+            let fences = std::mem::take(&mut self.links.get_mut(index).pending_fences);
+            if !fences.is_empty() {
+                self.send_to_agent(now, index, ToAgentBody::Recover(fences), effects);
             }
-            let cancel = std::mem::take(&mut self.links.get_mut(index).pending_cancels);
-            if !cancel.is_empty() {
-                self.send_to_agent(now, index, ToAgentBody::Cancel(cancel), effects);
+            let submissions = std::mem::take(&mut self.links.get_mut(index).pending_cancels);
+            if !submissions.is_empty() {
+                self.send_to_agent(now, index, ToAgentBody::Cancel(submissions), effects);
             }
         }
         if now < self.starts_held_until {
--- a/laurelstile-core/src/gateway/peers.rs
+++ b/laurelstile-core/src/gateway/peers.rs
@@ -20,8 +20,8 @@
 /// Maximum age of the clock reading echoed with a delegation. An older
 /// delegation may have been recovered in the meantime and is sent back.
 pub const MAX_DELEGATION_ECHO_AGE: Span = Span::from_secs(5);
-/// Time after the loss of a session at which delegations to the peer are
-/// recovered.
+/// How long a peer may take to reconnect after the loss of a session before
+/// delegations to it are recovered.
 pub const RECONNECT_GRACE: Span = Span::from_secs(1);
 /// Time without a message after which the jobs delegated by a peer are
 /// dropped.
@@ -39,7 +39,7 @@
     /// The latest reading of the peer's clock; `None` for an incarnation that
     /// has not sent a message.
     pub clock: Option<Timestamp>,
-    /// Whether it accepts no new delegations.
+    /// Whether the peer accepts no new delegations.
     pub stopping: bool,
     /// Revision in force at the peer.
     pub revision: RevisionNumber,
@@ -49,7 +49,8 @@
     pub pending_acknowledgements: Vec<SubmissionId>,
     /// Delegations from this gateway to the peer, with the time of sending.
     pub outstanding: BTreeMap<DelegationKey, Timestamp>,
-    /// Whether its jobs were dropped since the last message.
+    /// Whether the jobs delegated by the peer have been dropped since its last
+    /// message.
     pub jobs_dropped: bool,
 }
 
@@ -82,7 +83,7 @@
 impl Peers {
     /// Records a new session; returns the session and the incarnation that it
     /// replaces.
-    pub fn open(&mut self, now: Timestamp, session: SessionId, remote: &Remote) -> Reopened {
+    pub fn open(&mut self, now: Timestamp, session: SessionId, remote: &Remote) -> OpenedSession {
         let name = GatewayName(remote.name.clone());
         let peer = self.by_name.entry(name.clone()).or_insert_with(|| Peer {
             session: None,
@@ -109,7 +110,7 @@
         peer.pushed_revision = 0;
         peer.stopping = false;
         peer.jobs_dropped = false;
-        Reopened {
+        OpenedSession {
             name,
             old_session,
             lost_incarnation,
@@ -156,9 +157,9 @@
     }
 }
 
-/// What a new session of a peer replaces.
+/// A newly opened session of a peer and what it replaces.
 #[derive(Debug)]
-pub struct Reopened {
+pub struct OpenedSession {
     pub name: GatewayName,
     /// The previous session, if it was open.
     pub old_session: Option<SessionId>,
--- a/laurelstile-core/src/rendezvous.rs
+++ b/laurelstile-core/src/rendezvous.rs
@@ -1,9 +1,11 @@
-//! Rendezvous hashing: selects the gateway that schedules a pool without an
-//! election. Gateways with the same set of live peers select the same one. If
-//! their views differ, starts are still safe because the agents own the slots.
+//! Rendezvous hashing: selects, without an election, the gateway that schedules
+//! a pool. Gateways with the same set of live peers select the same one. If
+//! their views differ, starts are still safe because only the agents decide what
+//! starts.
 //!
-//! Based on the section on embedded weighted rendezvous routing of the paper.
-//! For the use of one scheduler per pool see docs/decisions/0001.
+//! Based on the section "Embedded weighted rendezvous routing" of "Mooncake
+//! Store-RS Features", but without weights. For the reasons see
+//! docs/decisions/0001.
 
 use laurelstile_types::id::{GatewayName, PoolName};
 use twox_hash::XxHash64;
--- a/laurelstile-core/tests/agent_properties.rs
+++ b/laurelstile-core/tests/agent_properties.rs
@@ -1,7 +1,7 @@
 //! Property tests of the agent's state machine: with random events of two
 //! gateways, including disconnects and recoveries, no task runs twice, slots
-//! are never exceeded, and fences and drains hold. The random generator has a
-//! fixed seed.
+//! are never exceeded, and nothing starts under a superseded delegation or on a
+//! draining agent. The random generator has a fixed seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -39,6 +39,7 @@
     },
     Finish {
         index: usize,
+        /// Whether the back end could be reached to start the task.
         reached: bool,
     },
     Recover {
