--- a/laurelstiled/src/agent/driver.rs
+++ b/laurelstiled/src/agent/driver.rs
@@ -190,8 +190,8 @@
 
     fn send(&self, session: SessionId, message: FromAgent) {
         counter!(MESSAGES_SENT, "kind" => message.kind()).increment(1);
-        if let FromAgentBody::NotStarted(refused) = &message.body {
-            for refusal in refused {
+        if let FromAgentBody::NotStarted(refusals) = &message.body {
+            for refusal in refusals {
                 let reason = format!("{:?}", refusal.reason);
                 counter!(NOT_STARTED, "reason" => reason).increment(1);
             }
--- a/laurelstiled/src/gateway/api.rs
+++ b/laurelstiled/src/gateway/api.rs
@@ -155,7 +155,7 @@
     endpoint
 }
 
-/// The error type of `submit_job`, for its document entry.
+/// The error type of `submit_job`, used only for its entry in the OpenAPI document.
 #[derive(Debug, Serialize, JsonSchema)]
 #[serde(transparent)]
 struct TypedFailure(JobFailure);
@@ -366,8 +366,8 @@
         .map_err(|error| append_error(&error))?;
     let number = accepted.number;
     log::info!(change:% = id, revision = number; "change accepted");
-    // Apply the revision without waiting for the next poll of the table; from here it is also
-    // distributed over the sessions to the other processes.
+    // Apply the revision without waiting for the next poll of the table; the gateway then also
+    // sends it over its sessions to the other processes.
     if let Some(revision) = accepted.revision {
         let event = GatewayEvent::Revision(Arc::new(revision));
         let _ = context.input.send(DriverInput::Event(event));
--- a/laurelstiled/src/gateway/dial.rs
+++ b/laurelstiled/src/gateway/dial.rs
@@ -28,7 +28,7 @@
     address: SocketAddr,
 }
 
-/// What is common to all dialed sessions of this process.
+/// Parameters shared by all dialed sessions of this process.
 #[derive(Clone)]
 pub struct DialContext {
     /// Identity of this process, sent in the handshake.
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Dials the agents that are new in `configuration`. Sessions to agents that were removed stay
-    /// open until the agent exits, since tasks may be in flight.
+    /// Dials the agents that are new in `configuration`. The session to a removed agent is kept
+    /// until its address refuses connections, since tasks may be in flight.
     pub fn configure(&mut self, configuration: &Configuration) {
         let targets: BTreeSet<Target> = configuration
             .backends()
--- a/laurelstiled/src/gateway/platform.rs
+++ b/laurelstiled/src/gateway/platform.rs
@@ -19,7 +19,7 @@
 use crate::settings::GatewaySettings;
 use crate::telemetry::PLATFORM_ERRORS;
 
-/// Pause between batches, in which claims collect to be written in one transaction.
+/// Pause between batches, during which claims are collected to be written in one transaction.
 const CLAIM_BATCH_DELAY: Duration = Duration::from_millis(20);
 /// Maximum number of claims in one transaction.
 const MAX_CLAIM_BATCH: usize = 128;
@@ -50,11 +50,11 @@
     interval: Duration,
     input: mpsc::UnboundedSender<DriverInput>,
 ) {
-    let mut known = 0;
+    let mut known_head = 0;
     while !input.is_closed() {
-        match read_newer(&platform, known).await {
+        match read_newer(&platform, known_head).await {
             Ok(Some(revision)) => {
-                known = revision.number;
+                known_head = revision.number;
                 let event = GatewayEvent::Revision(Arc::new(revision));
                 let _ = input.send(DriverInput::Event(event));
             }
--- a/laurelstiled/src/leased/agent.rs
+++ b/laurelstiled/src/leased/agent.rs
@@ -48,7 +48,8 @@
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for the seeds to answer before an agent reads the list of gateways.
 const SEED_TIMEOUT: Duration = Duration::from_millis(30);
-/// Range of the per-agent jitter added to the first read.
+/// Upper bound, exclusive, of the per-agent jitter that is added to [`SEED_TIMEOUT`] before the
+/// first read.
 const FIRST_LOOKUP_JITTER: Duration = Duration::from_millis(100);
 
 /// Runs an agent until its graceful shutdown has finished.
@@ -73,7 +74,7 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(DaemonError::Signals)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(DaemonError::Signals)?;
     log::info!(event = "started", node = settings.node.name.as_str(), incarnation:% = local.incarnation; "agent started");
-    let gateways = GatewaySessionHandler {
+    let session_handler = GatewaySessionHandler {
         input: input.clone(),
     };
     let token_floor = fence_token_floor();
@@ -94,7 +95,7 @@
         clock,
         state_machine: LeasedAgent::new(options),
         links: Links::new(
-            Dialer::new(local, settings.seeds.clone(), gateways),
+            Dialer::new(local, settings.seeds.clone(), session_handler),
             Subset::new(name.clone(), settings.node.zone.0.clone()),
         ),
         worker,
@@ -272,7 +273,7 @@
             AgentEffect::Close(session) => self.links.on_closed(session),
             AgentEffect::Command(command) => self.spawn_command(command),
             AgentEffect::Members(members) => self.links.add_members(self.clock.now(), members),
-            AgentEffect::StoreRecord(known) => self.record_writer.schedule(known),
+            AgentEffect::StoreRecord(record) => self.record_writer.schedule(record),
             AgentEffect::AnswerDeregistration(id) => self.answer_deregistration(&id),
             AgentEffect::Decided(decision) => self.decisions.record_agent(&decision),
             AgentEffect::Stopped => self.is_stopped = true,
@@ -315,10 +316,10 @@
             answer: worker.send_command(&command, COMMAND_TIMEOUT).await,
         },
         CommandKind::Watch { wait, .. } => {
-            let limit = Duration::from_micros(wait.0) + WATCH_TIMEOUT_MARGIN;
+            let timeout = Duration::from_micros(wait.0) + WATCH_TIMEOUT_MARGIN;
             AgentEvent::Watched {
                 incarnation,
-                answer: worker.watch(&command, limit).await,
+                answer: worker.watch(&command, timeout).await,
             }
         }
     }
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -2,7 +2,7 @@
 //! metrics.
 //!
 //! Lines beyond the limit are dropped; their number is logged in the next period. Outcomes have
-//! a limit of their own, so that under load intermediate steps are dropped before outcomes.
+//! a limit of their own, so that intermediate steps cannot use it up.
 
 use std::time::{Duration, Instant};
 
@@ -24,8 +24,8 @@
 const MAX_STEP_LINES: u32 = 400;
 /// Maximum number of lines about outcomes per period.
 const MAX_OUTCOME_LINES: u32 = 600;
-/// Maximum number of lost runs named in the line about the end of a worker, which bounds the
-/// length of the line.
+/// Maximum number of lost runs named in the line about the end of a worker incarnation, which
+/// bounds the length of the line.
 const MAX_NAMED_RUNS: usize = 40;
 /// Period of the rate limit.
 const RATE_LIMIT_PERIOD: Duration = Duration::from_secs(1);
@@ -116,7 +116,7 @@
                 queue,
                 is_contained,
             } => {
-                log::warn!(event = "queue_contained", queue = queue.as_str(), is_contained = *is_contained; "workers crash while they run tasks of this queue");
+                log::warn!(event = "queue_contained", queue = queue.as_str(), is_contained = *is_contained; "restriction of the queue to some workers began or ended; it begins when its tasks crash workers");
             }
             GatewayDecision::Neighbors(view) => {
                 log::info!(event = "neighbors", known = view.known, wanted = view.wanted, answering = view.answering, directory:% = view.directory; "");
@@ -336,8 +336,8 @@
             gauge!(CONTAINED_QUEUES).increment(change);
         }
         GatewayDecision::Suspected { is_given_up, .. } => {
-            let standing = if *is_given_up { "given_up" } else { "alone" };
-            counter!(TASKS_SUSPECTED, "standing" => standing).increment(1);
+            let suspicion = if *is_given_up { "given_up" } else { "alone" };
+            counter!(TASKS_SUSPECTED, "standing" => suspicion).increment(1);
         }
         GatewayDecision::TaskReturned { how, .. } => {
             counter!(TASKS_RETURNED, "how" => how.name()).increment(1);
@@ -384,8 +384,9 @@
     }
 }
 
-/// Lists the runs that ended with a worker as `task/run@age`. The youngest come first, since a
-/// task that crashes its worker is usually among them.
+/// Lists the runs that ended with a worker incarnation as `task/run@age`, the age in milliseconds
+/// with the suffix `ms`. The youngest come first, since a task that crashes its worker is usually
+/// among them.
 fn format_lost_runs(runs: &[LostRun]) -> String {
     let mut runs = runs.to_vec();
     runs.sort_unstable_by_key(|lost| lost.age);
--- a/laurelstiled/src/leased/gate.rs
+++ b/laurelstiled/src/leased/gate.rs
@@ -19,7 +19,7 @@
 /// Time after the start of a gateway during which calls wait for the first configuration, since
 /// callers may connect before it has been read.
 const FIRST_CONFIGURATION_WAIT: Duration = Duration::from_millis(250);
-/// `retry_after` of calls that the gateway did not answer.
+/// `retry_after` of a call that the gateway's driver did not answer because it has ended.
 const DEFAULT_RETRY_AFTER: Span = Span::from_millis(1_000);
 
 /// Status of a gateway, as published to its front end.
@@ -27,7 +27,7 @@
 pub struct GatewayStatus {
     /// The configuration in force; `None` until one has been read.
     pub configuration: Option<Arc<QueueConfiguration>>,
-    /// Whether the gateway accepts new connections.
+    /// Whether the gateway should receive new connections.
     pub is_ready: bool,
     /// Whether the process is shutting down, so that callers should reconnect to another gateway.
     pub is_stopping: bool,
--- a/laurelstiled/src/leased/gateway.rs
+++ b/laurelstiled/src/leased/gateway.rs
@@ -35,6 +35,7 @@
 
 /// Maximum number of inputs handled before the state machine is flushed.
 const MAX_INPUT_BATCH: usize = 128;
+/// Maximum time that a driver sleeps between two wake-ups of its state machine.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 /// Time for the last answers to be written once no job is in flight.
 const ANSWER_FLUSH_DELAY: Duration = Duration::from_millis(200);
@@ -78,10 +79,10 @@
         .copied()
         .filter(|seed| *seed != member.address)
         .collect();
-    let peers = PeerSessionHandler {
+    let session_handler = PeerSessionHandler {
         input: input.clone(),
     };
-    let dialer = Dialer::new(local.clone(), seeds, peers);
+    let dialer = Dialer::new(local.clone(), seeds, session_handler);
     tokio::spawn(operator::watch(Arc::clone(&store), input.clone()));
     tokio::spawn(membership::maintain_record(
         Arc::clone(&store),
@@ -111,8 +112,8 @@
     log::info!(event = "started", node = settings.node.name.as_str(), incarnation:% = local.incarnation, zone = settings.node.zone.0.as_str(); "gateway started");
     let done = tokio::spawn(async move {
         driver.run(inputs).await;
-        // Both run concurrently, so that an unresponsive store does not extend the shutdown
-        // beyond its grace period.
+        // The removal and the delay run concurrently, so that an unresponsive store does not
+        // extend the shutdown beyond its grace period.
         let removal = membership::remove_record(store.as_ref(), &member);
         tokio::join!(removal, tokio::time::sleep(ANSWER_FLUSH_DELAY));
         log::info!(event = "stopped"; "gateway stopped");
--- a/laurelstiled/src/leased/input.rs
+++ b/laurelstiled/src/leased/input.rs
@@ -53,11 +53,11 @@
         /// Receives the answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// A caller asks whether a job is running here.
+    /// A caller asks whether the gateway has a job that has not ended.
     HasJob {
-        /// The job asked about.
+        /// Id of the job.
         job: JobId,
-        /// Receives whether the gateway has the job.
+        /// Receives the answer.
         reply: oneshot::Sender<bool>,
     },
     /// A session to an agent was opened.
--- a/laurelstiled/src/leased/links.rs
+++ b/laurelstiled/src/leased/links.rs
@@ -26,15 +26,15 @@
 }
 
 /// Dials gateways and holds the sessions to them.
-pub struct Links<D> {
-    dialer: Dialer<D>,
+pub struct Links<H> {
+    dialer: Dialer<H>,
     subset: Subset,
     open: HashMap<SessionId, Link>,
 }
 
-impl<D: SessionHandler> Links<D> {
-    /// Creates the set without open sessions; `dialer` already dials the seeds.
-    pub fn new(dialer: Dialer<D>, subset: Subset) -> Self {
+impl<H: SessionHandler> Links<H> {
+    /// Creates it without open sessions; `dialer` already dials the seeds.
+    pub fn new(dialer: Dialer<H>, subset: Subset) -> Self {
         Self {
             dialer,
             subset,
--- a/laurelstiled/src/leased/membership.rs
+++ b/laurelstiled/src/leased/membership.rs
@@ -15,10 +15,10 @@
 
 /// Table that holds the records.
 const TABLE: &str = "gateways";
-/// Interval at which a gateway renews its record and reads a page of the others'.
+/// Interval at which a gateway renews its record and reads a page of the list of gateways.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
-/// Age of a record, by the store's clock, from which it is ignored. A record as far in the future
-/// is ignored too: no gateway wrote it, and it would never expire.
+/// Age of a record, by the store's clock, above which it is ignored. A record dated further than
+/// this into the future is ignored too: no gateway wrote it, and it might never expire.
 const EXPIRY_MILLIS: u64 = 30_000;
 /// Time-out of a call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -35,8 +35,8 @@
     renewed_millis: u64,
 }
 
-/// Renews the record of `member` until `input` is closed, and sends the records of other gateways
-/// to it page by page.
+/// Renews the record of `member` until `input` is closed, and sends the list of gateways to
+/// `input` page by page.
 pub async fn maintain_record<S: RecordStore>(
     store: Arc<S>,
     member: Member,
@@ -78,7 +78,7 @@
 /// readers are spread over the list.
 ///
 /// # Errors
-/// [`StoreError`] if the store does not answer in time, or not with a list.
+/// [`StoreError`] if the store does not answer in time, or its answer is malformed.
 pub async fn read_members<S: RecordStore>(
     store: &S,
     name: &str,
@@ -145,9 +145,9 @@
 
 /// Parses a record; logs and skips one that is malformed.
 fn parse_record(record: &Record) -> Option<MemberRecord> {
-    let member = serde_json::from_slice(&record.value);
-    let member = member.inspect_err(|error| {
+    let parsed = serde_json::from_slice(&record.value);
+    let parsed = parsed.inspect_err(|error| {
         log::warn!(event = "member_set_aside", key = record.key.as_str(), error:% = error; "malformed gateway record ignored");
     });
-    member.ok()
+    parsed.ok()
 }
--- a/laurelstiled/src/leased/mod.rs
+++ b/laurelstiled/src/leased/mod.rs
@@ -1,4 +1,5 @@
-//! Gateway and agent processes for leased workers. One task drives the state machine of
+//! Gateway and agent processes for leased workers, which run each task only while its lease is
+//! renewed. In each process, one asynchronous task drives the state machine of
 //! `laurelstile_core::leased`; others hold sessions, and reach callers, the worker and the record
 //! store through the traits in [`ports`].
 
--- a/laurelstiled/src/leased/operator.rs
+++ b/laurelstiled/src/leased/operator.rs
@@ -50,16 +50,16 @@
     }
 }
 
-/// The operator's data as read so far, and the store revision up to which it is complete.
+/// The evacuated zones as read so far, and the store version up to which they are complete.
 #[derive(Debug, Default)]
 pub struct OperatorWatcher {
-    /// Revision after which changes are requested; `None` if everything has to be read.
+    /// Store version after which changes are requested; `None` if everything has to be read.
     cursor: Option<u64>,
     evacuated: BTreeSet<String>,
 }
 
 impl OperatorWatcher {
-    /// Applies a snapshot if no revision was known, otherwise the changes since that revision.
+    /// Applies a snapshot if no store version was known, otherwise the changes since that version.
     /// Returns the events for the gateway. Evacuations come first, so that a new configuration
     /// does not lead to placements in an evacuated zone.
     pub fn apply_update(&mut self, update: OperatorUpdate) -> Vec<GatewayEvent> {
--- a/laurelstiled/src/leased/ports.rs
+++ b/laurelstiled/src/leased/ports.rs
@@ -13,18 +13,18 @@
 
 /// The worker that an agent controls.
 pub trait WorkerPort: Send + Sync + 'static {
-    /// Sends a start or stop command to the worker, and waits for the answer for `limit` at most.
+    /// Sends a start or stop command to the worker, and waits up to `timeout` for the answer.
     fn send_command(
         &self,
         command: &WorkerCommand,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<CommandAnswer, CommandError>> + Send;
 
-    /// Sends a watch to the worker, and waits for the answer for `limit` at most.
+    /// Sends a watch to the worker, and waits up to `timeout` for the answer.
     fn watch(
         &self,
         command: &WorkerCommand,
-        limit: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<WatchAnswer, CommandError>> + Send;
 }
 
@@ -106,8 +106,8 @@
     /// The store no longer keeps the changes after the requested version.
     #[error("record store no longer keeps changes since the requested version")]
     HistoryTruncated,
-    /// The answer, or a value to be written, could not be parsed or encoded.
-    #[error("malformed answer from the record store")]
+    /// The answer could not be parsed, or a value to be written could not be encoded.
+    #[error("malformed answer from the record store, or value that cannot be encoded")]
     Malformed,
 }
 
@@ -168,7 +168,7 @@
     pub configuration: Option<QueueConfiguration>,
     /// Starts and ends of evacuations, in order; in a snapshot, every zone that is evacuated.
     pub evacuations: Vec<EvacuationChange>,
-    /// Store version from which the next changes are to be read.
+    /// Store version after which the next changes are to be read.
     pub cursor: u64,
 }
 
--- a/laurelstiled/src/leased/recall.rs
+++ b/laurelstiled/src/leased/recall.rs
@@ -65,8 +65,8 @@
 
 impl RecordWriter {
     /// Schedules a write. It replaces a scheduled one that has not succeeded yet.
-    pub fn schedule(&self, known: IncarnationRecord) {
-        self.scheduled.send_replace(Some(known));
+    pub fn schedule(&self, record: IncarnationRecord) {
+        self.scheduled.send_replace(Some(record));
     }
 }
 
@@ -91,12 +91,12 @@
     while changes.changed().await.is_ok() {
         let mut attempts = 0;
         loop {
-            let Some(known) = changes.borrow_and_update().clone() else {
+            let Some(scheduled) = changes.borrow_and_update().clone() else {
                 break;
             };
-            let max_attempts = if known.is_vital { MAX_ATTEMPTS } else { 1 };
+            let max_attempts = if scheduled.is_vital { MAX_ATTEMPTS } else { 1 };
             let record = StoredWorker {
-                registration: known.registration,
+                registration: scheduled.registration,
                 writer: writer.0,
             };
             attempts += 1;
@@ -104,7 +104,8 @@
             if written.is_ok() {
                 break;
             }
-            // Without a record that is not vital, a later agent only has to wait for a heartbeat.
+            // If a record that is not vital is missing, a later agent only has to wait for a
+            // heartbeat.
             if attempts >= max_attempts {
                 log::warn!(event = "worker_not_recorded", life:% = record.registration.incarnation, writes = attempts; "registration of the worker was not written to the record store");
                 break;
@@ -121,13 +122,13 @@
     record: &StoredWorker,
 ) -> Result<(), StoreError> {
     let value = serde_json::to_vec(record).map_err(|_| StoreError::Malformed)?;
-    let known = with_timeout(store.get(TABLE, name)).await?;
-    let later = known.as_ref().and_then(writer_of);
-    if later.is_some_and(|later| later > record.writer) {
+    let current = with_timeout(store.get(TABLE, name)).await?;
+    let current_writer = current.as_ref().and_then(writer_of);
+    if current_writer.is_some_and(|current_writer| current_writer > record.writer) {
         log::info!(event = "worker_record_left"; "record not replaced: it was written by a later agent");
         return Ok(());
     }
-    let expected = known.map_or(0, |known| known.version);
+    let expected = current.map_or(0, |current| current.version);
     match with_timeout(store.replace(TABLE, name, &value, expected)).await? {
         ReplaceOutcome::Replaced => Ok(()),
         ReplaceOutcome::VersionMismatch => Err(StoreError::Unavailable),
--- a/laurelstiled/src/leased/sessions.rs
+++ b/laurelstiled/src/leased/sessions.rs
@@ -39,10 +39,10 @@
 }
 
 /// Keeps a session to each gateway that is a target.
-pub struct Dialer<D> {
+pub struct Dialer<H> {
     local: LocalNode,
     seeds: Vec<SocketAddr>,
-    handler: Arc<D>,
+    handler: Arc<H>,
     dials: BTreeMap<SocketAddr, DialTask>,
 }
 
@@ -53,9 +53,9 @@
     is_released: Arc<AtomicBool>,
 }
 
-impl<D: SessionHandler> Dialer<D> {
+impl<H: SessionHandler> Dialer<H> {
     /// Creates a dialer that dials `seeds` at once, and without a limit on failed attempts.
-    pub fn new(local: LocalNode, seeds: Vec<SocketAddr>, handler: D) -> Self {
+    pub fn new(local: LocalNode, seeds: Vec<SocketAddr>, handler: H) -> Self {
         let mut dialer = Self {
             local,
             seeds: seeds.clone(),
@@ -92,7 +92,8 @@
         self.seeds = seeds;
     }
 
-    /// Dials the address until it is released, or has failed [`MAX_DIAL_ATTEMPTS`] times in a row.
+    /// Dials the address until it is released, or, unless it is a seed, has failed
+    /// [`MAX_DIAL_ATTEMPTS`] times in a row.
     pub fn dial(&mut self, address: SocketAddr) {
         if let Some(dial) = self.dials.get(&address)
             && !dial.task.is_finished()
@@ -133,15 +134,15 @@
 }
 
 /// Dials one address repeatedly, and runs each session that is opened.
-struct Connector<D> {
+struct Connector<H> {
     address: SocketAddr,
     is_seed: bool,
     is_released: Arc<AtomicBool>,
     local: LocalNode,
-    handler: Arc<D>,
+    handler: Arc<H>,
 }
 
-impl<D: SessionHandler> Connector<D> {
+impl<H: SessionHandler> Connector<H> {
     async fn run(self) {
         let mut last_gateway = None;
         let mut failures = 0;
@@ -159,7 +160,7 @@
             if is_refused && let Some(gateway) = last_gateway.take() {
                 self.handler.on_connection_refused(gateway);
             }
-            // Log only the first failure in a row.
+            // Record at most two failures in a row, and no refused connections.
             if !is_refused && failures <= 1 {
                 record_session_end(&error, &self.address.to_string());
             }
@@ -173,9 +174,9 @@
     }
 
     async fn open(&self, failures: u32) -> Result<(Socket, Remote), WireError> {
-        let limit = duration(connect_timeout(failures));
+        let timeout = duration(connect_timeout(failures));
         let role = NodeRole::Gateway;
-        let dialing = session::dial_with_timeout(limit, self.address, None, &self.local, role);
+        let dialing = session::dial_with_timeout(timeout, self.address, None, &self.local, role);
         let dialed = tokio::time::timeout(duration(DIAL_TIMEOUT), dialing).await;
         dialed.unwrap_or(Err(WireError::Timeout))
     }
--- a/laurelstiled/src/leased/settings.rs
+++ b/laurelstiled/src/leased/settings.rs
@@ -14,8 +14,8 @@
 /// Bounds of the grace period of a shutdown, in seconds.
 const MIN_GRACE_SECONDS: f64 = 1.0;
 const MAX_GRACE_SECONDS: f64 = 3_600.0;
-/// Share of the grace period, and upper limit in seconds, during which a stopping gateway still
-/// accepts jobs from callers that have not reconnected to another gateway.
+/// Share of the grace period during which a stopping gateway still accepts jobs from callers that
+/// have not reconnected to another gateway, and the upper limit of that time, in seconds.
 const OVERLAP_FRACTION: f64 = 0.45;
 const MAX_OVERLAP_SECONDS: f64 = 2.8;
 /// Part of a gateway's grace period reserved for sending the last answers, in seconds.
--- a/laurelstiled/src/process.rs
+++ b/laurelstiled/src/process.rs
@@ -39,8 +39,8 @@
     Ok(())
 }
 
-/// With one thread, tasks of the process wake each other without switching threads, which keeps
-/// latency low.
+/// Builds a current-thread runtime for one thread: tasks of the process then wake each other
+/// without switching threads, which keeps latency low.
 fn build_runtime(threads: usize) -> std::io::Result<tokio::runtime::Runtime> {
     let mut builder = if threads == 1 {
         tokio::runtime::Builder::new_current_thread()
--- a/laurelstiled/src/settings.rs
+++ b/laurelstiled/src/settings.rs
@@ -31,11 +31,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Name of the gateway, or of the agent's back end.
+    /// Name of the gateway or agent. The agent of a back end has the back end's name.
     pub name: String,
     /// Zone in which the process runs.
     pub zone: ZoneName,
-    /// Secret shared by all processes of the installation, of `MIN_SECRET_BYTES` or more.
+    /// Secret shared by all processes of the installation, at least `MIN_SECRET_BYTES` long.
     pub secret: String,
     /// File to which the history of events is appended; for consistency checks, not for
     /// production.
--- a/laurelstiled/src/telemetry.rs
+++ b/laurelstiled/src/telemetry.rs
@@ -17,7 +17,8 @@
 pub const NOT_STARTED: &str = "laurelstile_not_started_total";
 /// Results received for jobs that had already ended.
 pub const LATE_RESULTS: &str = "laurelstile_late_results";
-/// Sessions that failed or were refused; labels `kind`, `side`.
+/// Sessions that failed or were refused; labels `kind`, `side` (role of the remote process:
+/// `agent`, `peer` or `gateway`; always `gateway` with leased workers).
 pub const SESSION_ERRORS: &str = "laurelstile_session_errors_total";
 /// Revision of the configuration in force.
 pub const REVISION: &str = "laurelstile_revision";
@@ -25,7 +26,7 @@
 pub const SUBMISSIONS: &str = "laurelstile_submissions";
 /// Tasks in this gateway's queues.
 pub const QUEUED_TASKS: &str = "laurelstile_queued_tasks";
-/// Failed exchanges with the platform; label `call`.
+/// Failed calls to the platform; label `call`.
 pub const PLATFORM_ERRORS: &str = "laurelstile_platform_errors_total";
 
 /// Calls refused by a gateway that has no configuration yet.
@@ -34,8 +35,9 @@
 pub const LOG_LINES_DROPPED: &str = "laurelstile_log_lines_dropped_total";
 /// Time from the arrival of a job of leased workers to its answer; labels `queue`, `answer`.
 pub const JOB_SECONDS: &str = "laurelstile_job_seconds";
-/// Time of those jobs by stage; labels `queue`, `stage` (`way_in`: before the gateway received the
-/// job; `waiting`: until its first task was dispatched; `working`: from then on).
+/// Time of answered jobs of leased workers by stage; labels `queue`, `stage` (`way_in`: before the
+/// gateway received the job; `waiting`: until its first task was dispatched; `working`: from then
+/// on).
 pub const JOB_STAGE_SECONDS: &str = "laurelstile_job_stage_seconds";
 /// Answered jobs of leased workers; labels `queue`, `size`, `outcome` (`in_time`, `late`,
 /// `refused`, `other`).
@@ -67,7 +69,8 @@
 /// Number of queues that this gateway restricts to some of the workers, since their tasks crash
 /// workers.
 pub const CONTAINED_QUEUES: &str = "laurelstile_contained_queues";
-/// Incarnations of the worker that ended without a deregistration.
+/// Incarnations of the worker that crashed, restarted under the same id or were superseded by a
+/// worker with another id.
 pub const WORKER_CRASHES: &str = "laurelstile_worker_crashes_total";
 /// Heartbeats of the worker that were not used; label `reason`.
 pub const HEARTBEATS_IGNORED: &str = "laurelstile_heartbeats_ignored_total";
@@ -78,7 +81,7 @@
 /// Number of times that the worker stopped answering.
 pub const WORKER_UNRESPONSIVE: &str = "laurelstile_worker_silent_total";
 
-/// Upper bounds of the histogram buckets, in seconds.
+/// Upper bounds of the buckets of all histograms: seconds, or the ratio of [`RUN_TIME_RATIO`].
 const BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0,
 ];
--- a/laurelstiled/tests/gate.rs
+++ b/laurelstiled/tests/gate.rs
@@ -31,8 +31,8 @@
     (GatewayHandle::new(input, status_receiver), status)
 }
 
-/// After a common restart, callers connect before the gateway has read its configuration; their
-/// calls must not be refused.
+/// When all processes restart together, callers connect before the gateway has read its
+/// configuration; their calls must not be refused.
 #[tokio::test(start_paused = true)]
 async fn a_call_at_the_start_waits_for_the_first_configuration() {
     let (gateway, status) = gateway_handle();
--- a/laurelstiled/tests/members.rs
+++ b/laurelstiled/tests/members.rs
@@ -5,7 +5,7 @@
 use laurelstiled::leased::membership;
 use laurelstiled::leased::ports::{Listing, Record, RecordStore, ReplaceOutcome, StoreError};
 
-const NOW: u64 = 500_000;
+const NOW_MILLIS: u64 = 500_000;
 
 /// A store with these values as its records; everything but `list` fails.
 struct ListStore(Vec<Vec<u8>>);
@@ -22,7 +22,7 @@
             records: records.collect(),
             has_more: false,
             version: 9,
-            now_millis: NOW,
+            now_millis: NOW_MILLIS,
         })
     }
 
@@ -63,12 +63,12 @@
 #[tokio::test]
 async fn invalid_and_expired_records_are_skipped() {
     let store = ListStore(vec![
-        record("present", NOW - 8_000),
-        record("expired", NOW - 31_000),
+        record("present", NOW_MILLIS - 8_000),
+        record("expired", NOW_MILLIS - 31_000),
         record("never-expires", u64::MAX),
         b"\xff\x00".to_vec(),
         br#"{"member":{"name":3},"renewed_millis":1}"#.to_vec(),
-        record("present-too", NOW),
+        record("present-too", NOW_MILLIS),
     ]);
     let members = membership::read_members(&store, "agent")
         .await
--- a/laurelstiled/tests/recall.rs
+++ b/laurelstiled/tests/recall.rs
@@ -120,7 +120,7 @@
     }
 }
 
-fn known(started_at: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> IncarnationRecord {
+fn record(started_at: u64, cpu_millis: u32, draining: bool, is_vital: bool) -> IncarnationRecord {
     let registration = Registration {
         incarnation: incarnation(started_at),
         service: "parcels".into(),
@@ -157,16 +157,16 @@
     }
 }
 
-/// Otherwise the next agent would restore the first registration and start tasks on a draining
-/// worker.
+/// If the drain were not recorded, the next agent would restore the first registration and start
+/// tasks on a draining worker.
 #[tokio::test(start_paused = true)]
 async fn a_draining_worker_is_restored_as_draining() {
     let store = Arc::new(MemoryStore::default());
     let writer = writer(&store, 1);
-    writer.schedule(known(1, 4_000, false, false));
+    writer.schedule(record(1, 4_000, false, false));
     wait_for_retries().await;
     store.inject(&[WriteFault::Refused; 3]);
-    writer.schedule(known(1, 4_000, true, true));
+    writer.schedule(record(1, 4_000, true, true));
     wait_for_retries().await;
     let worker = restored_registration(&store)
         .await
@@ -180,9 +180,9 @@
 async fn the_next_incarnation_of_a_drained_worker_is_restored_as_ready() {
     let store = Arc::new(MemoryStore::default());
     let writer = writer(&store, 1);
-    writer.schedule(known(1, 4_000, true, true));
+    writer.schedule(record(1, 4_000, true, true));
     wait_for_retries().await;
-    writer.schedule(known(2, 4_000, false, false));
+    writer.schedule(record(2, 4_000, false, false));
     wait_for_retries().await;
     let worker = restored_registration(&store)
         .await
@@ -196,10 +196,10 @@
 async fn a_worker_is_restored_with_its_smallest_reported_capacity() {
     let store = Arc::new(MemoryStore::default());
     let writer = writer(&store, 1);
-    writer.schedule(known(1, 4_000, false, false));
+    writer.schedule(record(1, 4_000, false, false));
     wait_for_retries().await;
     store.inject(&[WriteFault::Refused; 3]);
-    writer.schedule(known(1, 2_000, false, true));
+    writer.schedule(record(1, 2_000, false, true));
     wait_for_retries().await;
     let worker = restored_registration(&store)
         .await
@@ -214,9 +214,9 @@
     let store = Arc::new(MemoryStore::default());
     let writer = writer(&store, 1);
     store.inject(&[WriteFault::Late]);
-    writer.schedule(known(1, 4_000, true, true));
+    writer.schedule(record(1, 4_000, true, true));
     wait_for_retries().await;
-    writer.schedule(known(2, 4_000, true, true));
+    writer.schedule(record(2, 4_000, true, true));
     wait_for_retries().await;
     store.apply_late_writes();
     let worker = restored_registration(&store)
@@ -232,9 +232,9 @@
     let store = Arc::new(MemoryStore::default());
     let writer = writer(&store, 1);
     store.inject(&[WriteFault::Refused; 5]);
-    writer.schedule(known(1, 4_000, true, true));
+    writer.schedule(record(1, 4_000, true, true));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    writer.schedule(known(2, 4_000, true, true));
+    writer.schedule(record(2, 4_000, true, true));
     wait_for_retries().await;
     let worker = restored_registration(&store)
         .await
@@ -247,9 +247,9 @@
 async fn an_earlier_agent_does_not_replace_the_record_of_a_later_one() {
     let store = Arc::new(MemoryStore::default());
     let (earlier, later) = (writer(&store, 1), writer(&store, 2));
-    later.schedule(known(2, 4_000, true, true));
+    later.schedule(record(2, 4_000, true, true));
     wait_for_retries().await;
-    earlier.schedule(known(1, 4_000, true, true));
+    earlier.schedule(record(1, 4_000, true, true));
     wait_for_retries().await;
     let worker = restored_registration(&store)
         .await
--- a/laurelstiled/tests/withdrawal.rs
+++ b/laurelstiled/tests/withdrawal.rs
@@ -7,12 +7,12 @@
 use laurelstiled::leased::membership::remove_record;
 use laurelstiled::leased::ports::{Listing, Record, RecordStore, ReplaceOutcome, StoreError};
 
-/// Upper bound on the removal: part of the grace period left once the last job has ended.
+/// Maximum time for the removal: part of the grace period that is left once the last job has ended.
 const REMOVAL_BUDGET: Duration = Duration::from_millis(250);
 
-struct SilentStore;
+struct UnresponsiveStore;
 
-impl RecordStore for SilentStore {
+impl RecordStore for UnresponsiveStore {
     async fn list(&self, _: &str, _: &str, _: usize) -> Result<Listing, StoreError> {
         pending().await
     }
@@ -48,6 +48,6 @@
         zone: "here".into(),
     };
     let began = tokio::time::Instant::now();
-    remove_record(&SilentStore, &member).await;
+    remove_record(&UnresponsiveStore, &member).await;
     assert!(began.elapsed() <= REMOVAL_BUDGET, "{:?}", began.elapsed());
 }
