--- a/laurelstiled/src/logging.rs
+++ b/laurelstiled/src/logging.rs
@@ -40,7 +40,7 @@
         })
         .try_apply()
         .map_err(|_| DaemonError::Logger)?;
-    // Otherwise trace lines of libraries would be formatted before the filter drops them.
+    // Without this limit, trace lines of libraries would be formatted before the filter drops them.
     log::set_max_level(match level {
         LogLevel::Error => log::LevelFilter::Error,
         LogLevel::Warn => log::LevelFilter::Warn,
