--- a/laurelstile-core/src/leased/agent/capacity_freshness.rs
+++ b/laurelstile-core/src/leased/agent/capacity_freshness.rs
@@ -37,16 +37,16 @@
 }
 
 impl CapacityFreshness {
-    pub fn on_heartbeat(&mut self, now: Timestamp, times: HeartbeatTiming) {
-        self.fresh_until = self.fresh_until.max(now.after(times.heartbeat_validity()));
+    pub fn on_heartbeat(&mut self, now: Timestamp, timing: HeartbeatTiming) {
+        self.fresh_until = self.fresh_until.max(now.after(timing.heartbeat_validity()));
         self.has_logged_staleness = false;
     }
 
-    /// Accepts the capacity in the record if an earlier agent was heard `silence` ago. That
-    /// agent's last heartbeat is at most one interval older.
-    pub fn on_predecessor(&mut self, now: Timestamp, silence: Span, times: HeartbeatTiming) {
-        let age = silence.0 + times.interval.0;
-        let remaining = times.heartbeat_validity().0.saturating_sub(age);
+    /// Extends the validity of the recorded capacity, if an earlier agent was heard `silence` ago.
+    /// The last heartbeat of the worker that it received is at most one interval older.
+    pub fn on_predecessor(&mut self, now: Timestamp, silence: Span, timing: HeartbeatTiming) {
+        let age = silence.0 + timing.interval.0;
+        let remaining = timing.heartbeat_validity().0.saturating_sub(age);
         self.fresh_until = self.fresh_until.max(now.after(Span(remaining)));
     }
 
--- a/laurelstile-core/src/leased/agent/crash_history.rs
+++ b/laurelstile-core/src/leased/agent/crash_history.rs
@@ -17,9 +17,9 @@
 const MAX_CRASHES: usize = 16;
 
 /// A crash counts as early if the run's age is at most its estimate divided by this, or at most
-/// [`MIN_EARLY_AGE`], the time that an agent takes to notice a crash.
+/// [`MIN_EARLY_BOUND`], the time that an agent takes to notice a crash.
 const EARLY_ESTIMATE_DIVISOR: u64 = 16;
-const MIN_EARLY_AGE: Span = Span::from_millis(25);
+const MIN_EARLY_BOUND: Span = Span::from_millis(25);
 
 /// The most recent crashes, numbered consecutively from 1.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
     }
     let bound = Span(run.estimate.0 / EARLY_ESTIMATE_DIVISOR)
         .0
-        .max(MIN_EARLY_AGE.0);
+        .max(MIN_EARLY_BOUND.0);
     age.0 <= bound
 }
 
--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -18,9 +18,9 @@
 pub struct Deregistration {
     since: Timestamp,
     is_answered: bool,
-    /// Whether the current incarnation sent it. A deregistration carries only the worker id, so
-    /// it may be a delayed one from the previous incarnation; a worker that shuts down announces
-    /// that it is draining first.
+    /// Whether it is known to come from the current incarnation. A deregistration carries only
+    /// the worker id, so it may be a delayed one from the previous incarnation; a worker that
+    /// shuts down announces that it is draining first.
     is_confirmed: bool,
 }
 
@@ -57,8 +57,9 @@
     /// runs are stopped, their leases are not renewed, and the deregistration is answered once
     /// all of them are known to have ended.
     ///
-    /// If the incarnation has not announced that it is draining, nothing starts there until its
-    /// next heartbeat shows whether the deregistration came from it.
+    /// If the worker may restart under the same id and has not announced that it is draining,
+    /// nothing starts there until its next heartbeat shows whether the deregistration came from
+    /// the current incarnation.
     pub(super) fn on_deregistration(
         &mut self,
         now: Timestamp,
@@ -132,7 +133,8 @@
         }));
     }
 
-    /// Answers the deregistration and ends the incarnation once nothing runs there.
+    /// Ends a deregistered incarnation once nothing runs there. Answers the deregistration then,
+    /// or at its deadline if that is earlier.
     pub(super) fn finish_deregistration(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let Some(worker) = &mut self.worker else {
             return;
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -48,7 +48,7 @@
     /// The record that an earlier agent of this worker left. The worker may have restarted
     /// since.
     RecordLoaded(Registration),
-    /// The worker deregistered. It exits once that is answered, or some seconds later. The
+    /// The worker deregistered. It exits once the request is answered, or some seconds later. The
     /// request does not say which incarnation sent it.
     Deregistration {
         /// Id of the worker.
@@ -334,7 +334,7 @@
         run: RunId,
         /// Why it is being stopped.
         reason: &'static str,
-        /// Time since the first stop was sent.
+        /// Time since the stop began, or since it was restarted for another incarnation.
         age: Span,
         /// Number of stops without an answer.
         stops: u32,
--- a/laurelstile-core/src/leased/agent/health.rs
+++ b/laurelstile-core/src/leased/agent/health.rs
@@ -19,7 +19,7 @@
 const PROBATION_FAILURES: u32 = 3;
 /// Consecutive failures from which on a failure is attributed to the worker, not to the task.
 const SUSPECT_FAILURES: u32 = 2;
-/// First pause of a probation; it doubles with each failed probe.
+/// First pause of a probation. It doubles each time that the task after a pause fails.
 const INITIAL_PROBATION: Span = Span::from_millis(400);
 const MAX_PROBATION: Span = Span::from_millis(1_600);
 /// Weight of a new sample in the moving average of the pace.
@@ -57,9 +57,12 @@
 
 #[derive(Debug)]
 pub struct Health {
+    /// Consecutive failures and stalls.
     failures: u32,
     probation: Option<Probation>,
+    /// Moving average of the ratio of actual to estimated run time.
     pace: f64,
+    /// When `pace` was last updated.
     sampled: Timestamp,
     normal_runs: VecDeque<NormalRun>,
 }
@@ -93,6 +96,7 @@
         if sample <= SLOW_PACE_THRESHOLD {
             self.record_normal_run(now, run);
         }
+        // A slow worker that has become faster is recognized after a few samples.
         let weight = if self.pace > SLOW_PACE_THRESHOLD && sample < self.pace {
             0.5
         } else {
@@ -146,7 +150,7 @@
         self.failures >= SUSPECT_FAILURES || self.probation.is_some()
     }
 
-    /// Number of tasks that the worker may hold in total; `active` is how many it holds now.
+    /// Number of further tasks that the worker may get now; `active` is how many it has.
     pub fn limit(&self, now: Timestamp, active: usize) -> u32 {
         match self.probation {
             None => NO_TASK_LIMIT,
--- a/laurelstile-core/src/leased/agent/heartbeats.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -99,8 +99,8 @@
         }
         let has_shrunk = !is_late && self.apply_capacity(&registration, effects);
         if !is_late {
-            let times = self.options.heartbeats;
-            self.capacity_freshness.on_heartbeat(now, times);
+            let timing = self.options.heartbeats;
+            self.capacity_freshness.on_heartbeat(now, timing);
             self.resolve_deregistration(now, registration.draining, effects);
         }
         if is_first || has_other_service {
@@ -113,7 +113,7 @@
 
     /// Applies the capacity in a heartbeat that is not out of order. Runs continue, but nothing
     /// starts beyond the new capacity, and gateways get a new snapshot. Returns whether the
-    /// incarnation has never had so little.
+    /// capacity is smaller than any that the incarnation has reported before.
     fn apply_capacity(
         &mut self,
         registration: &Registration,
@@ -141,10 +141,10 @@
         has_shrunk
     }
 
-    /// Records that another incarnation has registered. Either the current one is over, or this
-    /// is a delayed heartbeat of an earlier one. The heartbeat cannot tell, but the worker can:
-    /// it rejects commands for another id, and its run lists carry its start time. So the worker
-    /// is queried before any run of the current incarnation is given up.
+    /// Records that another incarnation has registered. Either the current one has ended, or this
+    /// is a delayed heartbeat of an earlier one. The worker's answer to a watch shows which: it
+    /// rejects commands for another id, and its run lists carry its start time. So the worker is
+    /// queried before any run of the current incarnation is reported as lost.
     fn set_successor(&mut self, now: Timestamp, registration: Registration) {
         let Some(worker) = &mut self.worker else {
             return;
@@ -216,13 +216,14 @@
         }
     }
 
-    /// Handles a gateway's report of how long ago it heard an earlier agent of this worker. The
-    /// record dates from that agent.
+    /// Handles a gateway's report of how long ago it heard an earlier agent of this worker, which
+    /// stored the record. An incarnation known only from run lists may have started since, and
+    /// its capacity is unknown until its first heartbeat.
     pub(super) fn on_predecessor(&mut self, now: Timestamp, silence: Span) {
-        let is_unheard = |worker: &WorkerState| worker.source == IncarnationSource::Lists;
-        if !self.worker.as_ref().is_some_and(is_unheard) {
-            let times = self.options.heartbeats;
-            self.capacity_freshness.on_predecessor(now, silence, times);
+        let is_known_from_lists = |worker: &WorkerState| worker.source == IncarnationSource::Lists;
+        if !self.worker.as_ref().is_some_and(is_known_from_lists) {
+            let timing = self.options.heartbeats;
+            self.capacity_freshness.on_predecessor(now, silence, timing);
         }
     }
 }
--- a/laurelstile-core/src/leased/agent/incarnation_end.rs
+++ b/laurelstile-core/src/leased/agent/incarnation_end.rs
@@ -42,7 +42,7 @@
             }
             IncarnationEnd::Deregistered | IncarnationEnd::Replaced => EndProof::LeaseExpired,
         };
-        // A worker with another id rejects commands for this one.
+        // A superseded id does not return: the worker with the other id rejects commands for it.
         let may_restart = incarnation.may_restart() && end != IncarnationEnd::Superseded;
         for task in self.runs.tasks_where(|_| true) {
             let is_unconfirmed = self.runs.get(task).is_some_and(Run::is_unconfirmed);
@@ -144,7 +144,7 @@
 
     /// Keeps a run whose start was unanswered when the incarnation ended. The worker may restart
     /// under the same id, and the new process would carry out a delayed start command. The run
-    /// ends only once the next incarnation has been told to stop it, or a worker with another id
+    /// ends only once the next incarnation has answered its stop, or a worker with another id
     /// answers.
     fn hold_start(
         &mut self,
--- a/laurelstile-core/src/leased/agent/lease.rs
+++ b/laurelstile-core/src/leased/agent/lease.rs
@@ -8,7 +8,7 @@
 use super::worker::WorkerClock;
 use super::worker_state::WorkerState;
 
-/// When every run has ended at a worker whose lease was last renewed at `renewed`.
+/// Time by which all runs have ended at a worker whose lease was last renewed at `renewed`.
 pub fn lease_expired_at(renewed: Timestamp) -> Timestamp {
     renewed.after(Span(MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0 + 1))
 }
@@ -24,8 +24,8 @@
         worker.lease_until(renewed)
     }
 
-    /// Latest time that the lease may be renewed from: as long as every run has a gateway that
-    /// answers for it.
+    /// Latest time that the lease may be renewed from: until then every run belongs to a gateway
+    /// that is not silent, and no run is being stopped.
     ///
     /// A run that is being stopped holds back the renewal for all others: a worker may answer
     /// watches but no stops, and the run's gateway considers the run over after
@@ -35,11 +35,12 @@
         let runs = self.runs.iter().map(|(_, run)| run);
         let ends = runs
             .filter(|run| run.takes_resources())
-            .map(|run| self.answered_for_until(run));
+            .map(|run| self.run_renewable_until(run));
         ends.min().unwrap_or(Timestamp(u64::MAX))
     }
 
-    fn answered_for_until(&self, run: &Run) -> Timestamp {
+    /// Latest time that the lease may be renewed from as far as `run` is concerned.
+    fn run_renewable_until(&self, run: &Run) -> Timestamp {
         let owner = self.owners.get(&run.owner);
         let silent_at = owner.map(|owner| owner.echo.after(OWNER_TIMEOUT));
         let stopped_at = match run.state {
--- a/laurelstile-core/src/leased/agent/mod.rs
+++ b/laurelstile-core/src/leased/agent/mod.rs
@@ -1,5 +1,5 @@
 //! The agent of a leased worker. Only the agent sends commands to its worker, so it alone
-//! decides what starts there. It renews the worker's leases and stops runs whose gateway is
+//! decides what starts there. It renews the worker's lease and stops runs whose gateway is
 //! gone.
 
 mod capacity_freshness;
@@ -75,7 +75,8 @@
     /// Fencing token of the current incarnation, or of the latest one if there is none.
     token: FenceToken,
     past_incarnations: PastIncarnations,
-    /// Worker id whose next incarnation may still carry out held starts.
+    /// Worker id whose next incarnation may still carry out held starts: unanswered ones that
+    /// were sent to an incarnation which has ended.
     held_worker_id: Option<Arc<str>>,
     runs: RunTable,
     health: Health,
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -15,7 +15,7 @@
 const FINAL_ACK_TIMEOUT: Span = Span::from_millis(400);
 
 impl LeasedAgent {
-    /// Sends the ends, reports and heartbeats that are due.
+    /// Sends the messages that are due to each gateway.
     pub(super) fn send_all(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let is_in_control = self
             .worker
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -45,7 +45,7 @@
     is_sent: bool,
 }
 
-/// Steps with waiting tasks that are remembered for each gateway.
+/// Steps with waiting tasks that are remembered for each gateway; further ones are ignored.
 const MAX_ANNOUNCED_STEPS: usize = 512;
 
 /// A gateway that has a session, runs or unacknowledged ends at this agent.
@@ -76,10 +76,13 @@
     /// Number of the last crash reported on this session.
     pub last_crash_sent: u64,
     ends: VecDeque<TaskEnd>,
+    /// How many of the newest `ends` have not been sent on this session.
     unsent: usize,
+    /// Number of the newest end.
     last_number: u64,
     announced: BTreeMap<StepKey, AnnouncedStep>,
     offers: Vec<PendingOffer>,
+    /// Number of the newest offer.
     last_offer: u64,
 }
 
@@ -185,7 +188,7 @@
     }
 
     /// Cancels all offers and forgets the waiting tasks if an offer was not answered in time.
-    /// Returns whether that was so.
+    /// Returns whether there was such an offer.
     pub fn expire_offers(&mut self, now: Timestamp) -> bool {
         let is_expired = self.offers.iter().any(|pending| now >= pending.until);
         if is_expired {
@@ -238,9 +241,9 @@
         }
     }
 
-    /// Drops the ends up to number `seen`.
-    pub fn acknowledge(&mut self, seen: u64) {
-        while self.ends.front().is_some_and(|end| end.number <= seen) {
+    /// Drops the ends up to `number`.
+    pub fn acknowledge(&mut self, number: u64) {
+        while self.ends.front().is_some_and(|end| end.number <= number) {
             self.ends.pop_front();
         }
         self.unsent = self.unsent.min(self.ends.len());
@@ -277,10 +280,10 @@
     /// reported with a delay, so that the gateway whose task ended can use the resources first
     /// and the others don't all compete for them.
     pub fn report_due(&self) -> Timestamp {
-        let paused = self.reported.after(MIN_REPORT_INTERVAL);
+        let earliest = self.reported.after(MIN_REPORT_INTERVAL);
         match self.grown_since {
-            Some(since) => paused.max(since.after(GROWTH_REPORT_DELAY)),
-            None => paused,
+            Some(since) => earliest.max(since.after(GROWTH_REPORT_DELAY)),
+            None => earliest,
         }
     }
 
--- a/laurelstile-core/src/leased/agent/progress.rs
+++ b/laurelstile-core/src/leased/agent/progress.rs
@@ -25,7 +25,7 @@
 
 impl LeasedAgent {
     /// Stops a run that has stalled or is much too slow. Times are taken on the worker's clock,
-    /// so that a delay in the agent is not blamed on the worker.
+    /// so that a delay in the agent is not attributed to the worker.
     pub(super) fn check_progress(
         &mut self,
         now: Timestamp,
--- a/laurelstile-core/src/leased/agent/run_table.rs
+++ b/laurelstile-core/src/leased/agent/run_table.rs
@@ -48,7 +48,7 @@
         /// When its start was confirmed.
         since: Timestamp,
     },
-    /// Its stop was sent; its end is not confirmed yet.
+    /// It is being stopped; its end is not confirmed yet.
     Stopping {
         reason: StopReason,
         /// When the stop began, or when it was restarted for another incarnation.
@@ -121,7 +121,7 @@
     }
 }
 
-/// All runs that an agent is responsible for, with running totals of their resources.
+/// All runs that an agent is responsible for, with totals of their resources.
 #[derive(Debug, Default)]
 pub struct RunTable {
     runs: BTreeMap<TaskId, Run>,
@@ -134,7 +134,7 @@
 impl RunTable {
     /// Adds a run of a task that has none yet.
     pub fn insert(&mut self, task: TaskId, run: Run) {
-        self.count(&run, true);
+        self.update_totals(&run, true);
         let replaced = self.runs.insert(task, run);
         debug_assert!(replaced.is_none());
     }
@@ -152,9 +152,9 @@
         let Some(mut run) = self.runs.remove(&task) else {
             return;
         };
-        self.count(&run, false);
+        self.update_totals(&run, false);
         run.state = state;
-        self.count(&run, true);
+        self.update_totals(&run, true);
         self.runs.insert(task, run);
     }
 
@@ -187,7 +187,7 @@
 
     pub fn remove(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
-        self.count(&run, false);
+        self.update_totals(&run, false);
         Some(run)
     }
 
@@ -236,7 +236,7 @@
         self.runs.len() - self.waiting
     }
 
-    fn count(&mut self, run: &Run, is_added: bool) {
+    fn update_totals(&mut self, run: &Run, is_added: bool) {
         let exclusive = usize::from(run.is_exclusive);
         self.exclusive = if is_added {
             self.exclusive + exclusive
--- a/laurelstile-core/src/leased/agent/sessions.rs
+++ b/laurelstile-core/src/leased/agent/sessions.rs
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Whether the session's gateway has neither runs nor unacknowledged ends here.
+    /// Whether the session's gateway has neither runs nor unacknowledged ends here; true for an
+    /// unknown session.
     pub fn is_idle_for(&self, session: SessionId) -> bool {
         let Some(gateway) = self.sessions.get(&session) else {
             return true;
--- a/laurelstile-core/src/leased/agent/starting.rs
+++ b/laurelstile-core/src/leased/agent/starting.rs
@@ -17,7 +17,7 @@
 /// Maximum number of tasks that wait here for resources.
 const MAX_WAITING: usize = 64;
 /// Largest increase of a token, as a power of two: 35 years in milliseconds, enough for an agent
-/// whose host started without the wall-clock time.
+/// that started before the wall clock of its host was set.
 const MAX_TOKEN_DOUBLINGS: u32 = 40;
 
 impl LeasedAgent {
@@ -89,6 +89,7 @@
         }
     }
 
+    /// Why a requested run is refused; `None` if it is accepted. Stops an earlier run of the task.
     fn refusal_reason(
         &mut self,
         now: Timestamp,
@@ -180,7 +181,8 @@
         self.send_command(kind, effects);
     }
 
-    /// Returns waiting tasks whose time-out has passed, or that cannot start any more.
+    /// Returns waiting tasks whose wait deadline has passed, or all of them if the worker is not
+    /// available.
     pub(super) fn return_waiting(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         if self.runs.waiting() == 0 {
             return;
--- a/laurelstile-core/src/leased/agent/stopping.rs
+++ b/laurelstile-core/src/leased/agent/stopping.rs
@@ -15,8 +15,7 @@
 /// Delay before the third and later attempts of a stop, so that a worker that drops every
 /// connection is not called in a tight loop.
 const STOP_RETRY_DELAY: Span = Span::from_millis(20);
-/// The same once the lease has expired. Only a start that no incarnation has confirmed is still
-/// being stopped then.
+/// The same once the lease in the run's start command has expired.
 const EXPIRED_STOP_RETRY_DELAY: Span = Span::from_millis(200);
 
 impl LeasedAgent {
@@ -174,7 +173,7 @@
     pub(super) fn retry_stops(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let due = self
             .runs
-            .tasks_where(|run| run.retry_stop_at.is_some_and(|again| now >= again));
+            .tasks_where(|run| run.retry_stop_at.is_some_and(|retry_at| now >= retry_at));
         for task in due {
             self.runs.update(task, |run| run.retry_stop_at = None);
             if let Some(run) = self.runs.get(task).map(|run| run.number) {
--- a/laurelstile-core/src/leased/agent/timeouts.rs
+++ b/laurelstile-core/src/leased/agent/timeouts.rs
@@ -7,13 +7,13 @@
 use super::{AgentDecision, AgentEffect, LeasedAgent};
 use crate::session::SessionId;
 
-/// How long a gateway without a session is remembered.
+/// How long after its latest echo a gateway without a session or runs is remembered.
 const OWNER_TTL: Span = Span::from_secs(4);
 /// A session on which nothing arrives for this long is closed and the gateway dialed again,
-/// since a connection may fail without being closed. Ten heartbeat intervals of a busy session,
+/// since a connection may fail without being closed: ten heartbeat intervals of a busy session,
 /// and a little more than two of an idle one.
-const BUSY_SESSION_SILENCE: Span = Span::from_millis(1_000);
-const IDLE_SESSION_SILENCE: Span = Span::from_millis(2_200);
+const BUSY_SESSION_TIMEOUT: Span = Span::from_millis(1_000);
+const IDLE_SESSION_TIMEOUT: Span = Span::from_millis(2_200);
 /// Maximum interval between two checks for silent sessions.
 const SILENCE_CHECK_INTERVAL: Span = Span::from_millis(500);
 /// An agent that was not woken for longer than this was suspended: it received nothing because
@@ -94,9 +94,9 @@
     fn session_silent_at(&self, now: Timestamp, gateway: Incarnation) -> Option<Timestamp> {
         let owner = self.owners.get(&gateway)?;
         let limit = if self.heartbeat_interval(now, gateway, owner) == BUSY_HEARTBEAT_INTERVAL {
-            BUSY_SESSION_SILENCE
+            BUSY_SESSION_TIMEOUT
         } else {
-            IDLE_SESSION_SILENCE
+            IDLE_SESSION_TIMEOUT
         };
         let last_activity = owner.echo.max(owner.opened);
         Some(last_activity.max(self.running_since).after(limit))
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -20,12 +20,12 @@
 /// How long the worker may wait for a run to end before it answers.
 const WATCH_WAIT: Span = Span::from_millis(30);
 /// Delay after the second consecutive unanswered watch, doubled for each further one at most
-/// [`MAX_WATCH_DOUBLINGS`] times. The first one is repeated at once.
+/// [`MAX_WATCH_DOUBLINGS`] times. The first unanswered watch is repeated at once.
 const WATCH_RETRY_DELAY: Span = Span::from_millis(10);
 const MAX_WATCH_DOUBLINGS: u32 = 4;
 /// Consecutive unanswered watches after which the lease is no longer renewed.
 const SILENT_WATCHES: u32 = 2;
-/// Interval between two stops for the same orphaned run.
+/// Minimum interval between two stops for the same orphaned run.
 const ORPHAN_STOP_INTERVAL: Span = Span::from_millis(100);
 
 impl LeasedAgent {
@@ -283,8 +283,9 @@
         }
     }
 
-    /// Ends all runs of a silent worker once the lease has expired; their gateways may repeat
-    /// them. Nothing starts there until new run lists have arrived.
+    /// Ends the runs of a worker that is silent or has deregistered once the lease has expired;
+    /// their gateways may repeat them. Nothing starts on a silent worker until new run lists
+    /// have arrived.
     pub(super) fn end_expired_runs(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let has_expired =
             |worker: &WorkerState| worker.is_expiring() && now >= lease_expired_at(worker.renewed);
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -24,9 +24,10 @@
 /// seen.
 ///
 /// The token rises with each incarnation that an agent follows, so that the first command for
-/// the next incarnation fences off delayed commands for the previous one. From one agent to the
-/// next it rises with the wall-clock time of their host; a worker has one agent at a time. The
-/// worker's own clock is unsuitable, since it restarts with each incarnation.
+/// the next incarnation fences off delayed commands for the previous one. A new agent starts from
+/// the wall-clock time of its host, so that its tokens exceed those of the previous agent; a
+/// worker has one agent at a time. The worker's own clock is unsuitable, since it restarts with
+/// each incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FenceToken(pub u64);
 
@@ -57,8 +58,8 @@
 pub struct IncarnationRecord {
     /// The latest registration, with the smallest capacity reported so far.
     pub registration: Registration,
-    /// Whether an agent without this record would misuse the worker, because it is draining or
-    /// has less capacity than it first reported.
+    /// Whether an agent without this record would misuse the worker, because the worker is
+    /// draining or has reported less capacity than at first.
     pub is_vital: bool,
 }
 
@@ -145,14 +146,14 @@
 
 /// Rate of the slowest clock that a worker may have, in percent of the agent's clock.
 const SLOWEST_CLOCK_PERCENT: u64 = 98;
-/// Age in microseconds from which on a reading is replaced even by a lower one.
-const READING_AGE_MICROS: u64 = 1_000_000;
+/// Age in microseconds above which a reading is replaced even by a lower one.
+const MAX_READING_AGE_MICROS: u64 = 1_000_000;
 
 impl ClockEstimate {
     /// Records a reading received at `now`. A reading that was delayed on the way is too low; it
     /// replaces a higher one only once that is old.
     pub fn update(&mut self, now: Timestamp, reading: WorkerClock) {
-        let is_old = now.since(self.taken).0 > READING_AGE_MICROS;
+        let is_old = now.since(self.taken).0 > MAX_READING_AGE_MICROS;
         if is_old || reading >= self.at(now) {
             self.reading = reading;
             self.taken = now;
--- a/laurelstile-core/src/leased/agent/worker_state.rs
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -52,8 +52,8 @@
     pub last_seen_sent: u64,
     /// Highest `last_seen` that the worker is known to have received.
     pub acknowledged: u64,
-    /// Whether this incarnation's run lists have been received since the last time that they
-    /// were in doubt.
+    /// Whether this incarnation's run lists have been received. Reset when a silent worker's
+    /// lease expires, and after a suspension of the agent.
     pub has_synced: bool,
     /// Whether taking control of it has been logged.
     pub has_logged_control: bool,
@@ -70,8 +70,8 @@
     /// Whether a watch is wanted, to acknowledge ended runs or to check that the worker is
     /// alive.
     pub wants_watch: bool,
-    /// Started tasks whose lease expired while the worker was silent. The worker has either
-    /// crashed or is unreachable.
+    /// Started tasks whose lease has expired since the worker last answered a watch. The worker
+    /// has crashed, is unreachable or is shutting down.
     pub expired_tasks: Vec<CrashedTask>,
     /// Another incarnation that has registered since.
     pub successor: Option<SuccessorCandidate>,
@@ -86,7 +86,7 @@
         self.draining || self.deregistration.is_some()
     }
 
-    /// The record that the next agent reads at start.
+    /// The record that the next agent reads at start, with the smallest capacity reported.
     pub fn record(&self, now: Timestamp) -> IncarnationRecord {
         let registration = Registration {
             incarnation: self.incarnation.clone(),
@@ -113,8 +113,8 @@
         effects: &mut Vec<AgentEffect>,
     ) {
         self.start_incarnation(now, registration, IncarnationSource::Heartbeat, effects);
-        let times = self.options.heartbeats;
-        self.capacity_freshness.on_heartbeat(now, times);
+        let timing = self.options.heartbeats;
+        self.capacity_freshness.on_heartbeat(now, timing);
         self.persist_record(now, effects);
     }
 
--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -124,7 +124,7 @@
 
 /// A delayed message that a gateway sent before it froze must not make it appear alive.
 #[test]
-fn a_message_with_an_old_echo_does_not_renew_the_lease() {
+fn a_message_with_an_old_echo_does_not_keep_runs_alive() {
     let mut rig = AgentRig::with_worker(cpu(1_000));
     let batch = rig.batch(1, 1, 4);
     rig.message(at(100), batch);
@@ -253,7 +253,7 @@
 #[rstest]
 #[case::old(Rejection::OldRun, EndKind::NotStarted(NotStartedReason::OldRun))]
 #[case::full(Rejection::Full, EndKind::NotStarted(NotStartedReason::Full))]
-#[case::late(
+#[case::lease_expired(
     Rejection::LeaseExpired,
     EndKind::NotStarted(NotStartedReason::Refused)
 )]
--- a/laurelstile-core/tests/leased_capacity.rs
+++ b/laurelstile-core/tests/leased_capacity.rs
@@ -1,4 +1,5 @@
-//! Changes of a worker's capacity while it runs tasks.
+//! Changes of a worker's capacity while it runs tasks, and how long a reported capacity remains
+//! valid.
 
 mod leased_support;
 
--- a/laurelstile-core/tests/leased_held_starts.rs
+++ b/laurelstile-core/tests/leased_held_starts.rs
@@ -48,8 +48,8 @@
     assert!(rejections <= 22, "{rejections}");
 }
 
-/// A start that is unanswered when the worker's process ends; the next incarnation may carry it
-/// out.
+/// An agent with a start that was unanswered when the worker's process ended; the next incarnation
+/// may carry it out.
 fn with_unanswered_start() -> AgentRig {
     let mut rig = in_first_incarnation();
     let batch = rig.batch(1, 1, 50);
--- a/laurelstile-core/tests/leased_late_words.rs
+++ b/laurelstile-core/tests/leased_late_words.rs
@@ -103,7 +103,7 @@
     assert_eq!(snapshots.next_back(), Some(service));
 }
 
-/// The agent was started after that incarnation had ended, so it does not know it.
+/// An agent that was started after an incarnation had ended does not know that incarnation.
 #[test]
 fn a_delayed_heartbeat_of_an_unknown_incarnation_does_not_affect_the_current_one() {
     let mut rig = AgentRig::new();
@@ -179,7 +179,6 @@
     assert_eq!(rig.ends().len(), ends);
 }
 
-/// The deregistration turns out to be from the current incarnation.
 #[test]
 fn a_deregistration_is_confirmed_by_a_draining_heartbeat() {
     let mut rig = running();
@@ -188,7 +187,7 @@
     assert_eq!(rig.take_stops(), [run(1, 0), run(1, 1)]);
 }
 
-/// No heartbeat shows which incarnation it came from.
+/// No heartbeat shows which incarnation the deregistration came from.
 #[test]
 fn an_unconfirmed_deregistration_is_answered() {
     let mut rig = running();
--- a/laurelstile-core/tests/leased_lives.rs
+++ b/laurelstile-core/tests/leased_lives.rs
@@ -21,7 +21,7 @@
     rig
 }
 
-/// A restarted agent does not know the earlier incarnations.
+/// An agent that has restarted does not know the worker's earlier incarnations.
 #[test]
 fn a_delayed_heartbeat_of_an_ended_incarnation_does_not_affect_runs() {
     let mut rig = running();
@@ -51,8 +51,8 @@
     rig.register(at(20), "life-2", cpu(8_000), false);
     rig.end_incarnation(at(21));
     assert_eq!(rig.ends(), [(task(1, 0), EndKind::Lost)]);
-    let order = rig.commands.back().expect("a watch of the new incarnation");
-    assert_eq!(order.incarnation, "life-2".into());
+    let command = rig.commands.back().expect("a watch of the new incarnation");
+    assert_eq!(command.incarnation, "life-2".into());
 }
 
 #[test]
@@ -65,7 +65,7 @@
     assert!(!rig.is_available());
 }
 
-/// The worker may hang forever in calls of its old incarnation, whose leases expire then.
+/// The old incarnation may hang: it never answers, and its host refuses no connection.
 #[test]
 fn a_silent_incarnation_is_replaced_once_its_leases_have_expired() {
     let mut rig = running();
@@ -82,7 +82,7 @@
     let ids: Vec<&str> = rig
         .commands
         .iter()
-        .map(|order| &*order.incarnation.id)
+        .map(|command| &*command.incarnation.id)
         .collect();
     assert!(ids.iter().all(|id| *id == "life-2"), "{ids:?}");
 }
--- a/laurelstile-core/tests/leased_returning_worker.rs
+++ b/laurelstile-core/tests/leased_returning_worker.rs
@@ -19,7 +19,7 @@
 };
 use rstest::rstest;
 
-/// Also for workers that report no start time.
+/// The heartbeats of the restarted worker must be applied, whether or not they carry a start time.
 #[rstest]
 #[case::with_start_time(Some(FIRST_START), Some(SECOND_START))]
 #[case::without_start_time(None, None)]
@@ -84,7 +84,7 @@
     assert!(!rig.decisions.iter().any(ignored));
 }
 
-/// A graceful shutdown followed by a restart.
+/// A graceful shutdown followed by a restart must not leave the worker unused.
 #[test]
 fn a_worker_that_deregistered_and_restarted_is_used_again() {
     let mut rig = in_first_incarnation();
@@ -99,7 +99,8 @@
     assert!(rig.is_available());
 }
 
-/// The end was not observed; run lists with another start time are evidence of it.
+/// The agent did not observe the end of the process; run lists with another start time are
+/// evidence of it.
 #[rstest]
 #[case::later(SECOND_START)]
 #[case::clock_set_back(SECOND_START_AFTER_CLOCK_STEP)]
