--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -145,13 +145,13 @@
         let has_expired = now >= deregistration.expires_at(worker.renewed);
         let is_listed_empty = worker.has_synced && worker.orphans.is_empty();
         let is_empty = self.runs.is_empty() && (is_listed_empty || has_expired);
-        let is_over = deregistration.is_confirmed && is_empty;
+        let has_ended = deregistration.is_confirmed && is_empty;
         let is_due = deregistration.answer_due().is_some_and(|due| now >= due);
-        if !is_over && !is_due {
+        if !has_ended && !is_due {
             return;
         }
         deregistration.answer(&worker.incarnation.id, effects);
-        if is_over {
+        if has_ended {
             let incarnation = worker.incarnation.clone();
             self.on_incarnation_ended(now, &incarnation, IncarnationEnd::Deregistered, effects);
         }
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -323,7 +323,7 @@
     SessionResumed {
         /// Incarnation of the gateway.
         gateway: Incarnation,
-        /// Age of the latest reading of the agent's clock that the gateway has echoed.
+        /// Age of the gateway's latest echo.
         silence: Span,
         /// Number of its runs.
         runs: usize,
--- a/laurelstile-core/src/leased/agent/heartbeats.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -51,8 +51,8 @@
         let worker = self.worker.as_ref()?;
         if worker.incarnation == *incarnation {
             let is_other = worker.service != registration.service;
-            let is_held = now.since(worker.service_confirmed_at) <= self.service_retention();
-            return (is_other && is_held).then_some(HeartbeatIgnoreReason::OtherService);
+            let is_retained = now.since(worker.service_confirmed_at) <= self.service_retention();
+            return (is_other && is_retained).then_some(HeartbeatIgnoreReason::OtherService);
         }
         if worker.incarnation.id == incarnation.id && incarnation.started_at.is_none() {
             return Some(HeartbeatIgnoreReason::NoStartTime);
--- a/laurelstile-core/src/leased/agent/incarnation_end.rs
+++ b/laurelstile-core/src/leased/agent/incarnation_end.rs
@@ -20,7 +20,7 @@
 };
 
 impl LeasedAgent {
-    /// Ends the runs of an incarnation that is over, and starts the successor that has
+    /// Ends the runs of an incarnation that has ended, and starts the successor that has
     /// registered, if any.
     pub(super) fn on_incarnation_ended(
         &mut self,
@@ -54,9 +54,9 @@
         }
         let next = ended.successor.map(|successor| successor.registration);
         let next = next.filter(|next| {
-            let is_gone =
+            let is_superseded =
                 end == IncarnationEnd::Superseded && next.incarnation.id == incarnation.id;
-            !is_gone && !self.past_incarnations.is_leaving(now, &next.incarnation)
+            !is_superseded && !self.past_incarnations.is_leaving(now, &next.incarnation)
         });
         if let Some(registration) = next {
             self.start_registered_incarnation(now, registration, effects);
--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -203,9 +203,9 @@
             }
         }
         let is_acknowledged = !self.owners.values().any(Owner::has_unacknowledged);
-        let is_over = now >= stop_deadline.after(FINAL_ACK_TIMEOUT);
+        let has_timed_out = now >= stop_deadline.after(FINAL_ACK_TIMEOUT);
         let is_done = self.runs.is_empty() && is_acknowledged;
-        if (is_done || is_over) && !self.has_reported_stop {
+        if (is_done || has_timed_out) && !self.has_reported_stop {
             self.has_reported_stop = true;
             effects.push(AgentEffect::Stopped);
         }
--- a/laurelstile-core/src/leased/agent/proof.rs
+++ b/laurelstile-core/src/leased/agent/proof.rs
@@ -10,7 +10,7 @@
     /// The worker lists it as ended.
     Listed,
     /// The worker does not list it, in an answer to a watch sent after the last change of the
-    /// run.
+    /// run's state.
     Unlisted,
     /// The worker's process has ended: another incarnation answers, or connections are refused
     /// although the incarnation had not announced its shutdown.
--- a/laurelstile-core/src/leased/agent/timeouts.rs
+++ b/laurelstile-core/src/leased/agent/timeouts.rs
@@ -38,11 +38,11 @@
             self.stop_runs_of(now, *gateway, effects);
         }
         for gateway in silent {
-            let is_over = self
+            let is_expired = self
                 .owners
                 .get(&gateway)
                 .is_some_and(|owner| owner.session.is_none() && owner.echo_age(now) > OWNER_TTL);
-            if is_over && !self.owns_runs(gateway) {
+            if is_expired && !self.owns_runs(gateway) {
                 self.owners.remove(&gateway);
             }
         }
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -323,8 +323,8 @@
         is_expiring.then(|| lease_expired_at(worker.renewed))
     }
 
-    /// Tasks that are over once the lease has expired. An unconfirmed start is not, if the
-    /// worker may have restarted under the same id: the clock that the lease refers to may have
+    /// Tasks whose runs have ended once the lease has expired. Unconfirmed starts are excluded if
+    /// the worker may restart under the same id: the clock that the lease refers to may have
     /// started again.
     fn expiring_tasks(&self) -> Vec<TaskId> {
         let worker = self.worker.as_ref();
@@ -380,9 +380,9 @@
             // A run never starts after its stop was answered. Without an answer, its start is
             // void once its lease has expired on the clock of the incarnation that it was sent
             // to.
-            let is_lease_over =
+            let has_lease_expired =
                 queried_at.since(run.sent).0 > MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0;
-            let is_void = is_lease_over && run.incarnation == current;
+            let is_void = has_lease_expired && run.incarnation == current;
             let is_stopped = answered.is_some_and(|answered| answered < queried_at);
             (is_void || is_stopped).then(|| end_of_stop(reason))
         }
