--- a/laurelstile-core/src/leased/agent/outgoing.rs
+++ b/laurelstile-core/src/leased/agent/outgoing.rs
@@ -15,7 +15,7 @@
 const FINAL_ACK_TIMEOUT: Span = Span::from_millis(400);
 
 impl LeasedAgent {
-    /// Sends the ends, reports and heartbeats that are due.
+    /// Sends the messages that are due to each gateway.
     pub(super) fn send_all(&mut self, now: Timestamp, effects: &mut Vec<AgentEffect>) {
         let is_in_control = self
             .worker
@@ -203,9 +203,9 @@
             }
         }
         let is_acknowledged = !self.owners.values().any(Owner::has_unacknowledged);
-        let is_over = now >= stop_deadline.after(FINAL_ACK_TIMEOUT);
+        let has_timed_out = now >= stop_deadline.after(FINAL_ACK_TIMEOUT);
         let is_done = self.runs.is_empty() && is_acknowledged;
-        if (is_done || is_over) && !self.has_reported_stop {
+        if (is_done || has_timed_out) && !self.has_reported_stop {
             self.has_reported_stop = true;
             effects.push(AgentEffect::Stopped);
         }
