--- a/laurelstile-core/src/leased/crashes.rs
+++ b/laurelstile-core/src/leased/crashes.rs
@@ -17,14 +17,14 @@
 /// Crashes from which on a task runs exclusively: two may be a coincidence, where a worker crashes
 /// on its own or because of another task.
 const SUSPECT_CRASHES: usize = 2;
-/// Early crashes after which a task fails, if it was the worker's only run in the last one.
+/// Early crashes after which a task fails, if it was the worker's only run at the latest crash.
 const MAX_EARLY_CRASHES_EXCLUSIVE: usize = 2;
 /// Early crashes after which a task fails in any case.
 const MAX_EARLY_CRASHES: usize = 3;
 /// Crashes after which a task fails, early or not. A healthy task rarely reaches this count, since
 /// it runs exclusively from its third attempt on.
 const MAX_CRASHES: usize = 5;
-/// How long a crash is remembered: longer than callers resubmit a job.
+/// How long a crash is remembered: longer than callers keep resubmitting a job.
 const RETENTION: Span = Span::from_secs(60);
 /// Maximum number of remembered (crash, task) pairs, at about 100 bytes each.
 const MAX_ENTRIES: usize = 8 * 1024;
@@ -38,7 +38,7 @@
     /// Number of runs that the worker had started and not ended.
     #[serde(rename = "n")]
     pub runs: u32,
-    /// Those of the runs that concern the receiver.
+    /// Tasks of those runs that concern the receiver.
     #[serde(rename = "t")]
     pub tasks: Vec<CrashedTask>,
 }
@@ -76,9 +76,9 @@
     /// One worker crashed. The task shares its next worker only with tasks that are clear, so that
     /// two suspicious tasks do not crash together again.
     OneCrash,
-    /// One worker crashed, soon after the task's start. The task runs exclusively if an idle worker
-    /// is available, which settles the question with one more crash; otherwise as
-    /// [`Suspicion::OneCrash`].
+    /// One worker crashed, soon after the task's start. The task runs exclusively if a worker
+    /// with enough free resources is available, so that a second early crash proves it the cause;
+    /// otherwise as [`Suspicion::OneCrash`].
     OneEarlyCrash,
     /// Several workers crashed: the task runs exclusively on its next worker.
     Suspect,
@@ -91,6 +91,7 @@
 struct Crash {
     incarnation: Arc<str>,
     is_early: bool,
+    /// Whether the task was the worker's only run.
     is_exclusive: bool,
 }
 
@@ -105,7 +106,7 @@
 }
 
 impl CrashLog {
-    /// Whether a crash that looks new may have been known and evicted. Such a crash is not
+    /// Whether a crash that is not in the log may have been evicted from it. Such a crash is not
     /// forwarded, since it would circulate among the gateways without end.
     pub fn may_have_evicted(&self, now: Timestamp) -> bool {
         self.evicted_at.is_some_and(|at| now.since(at) <= RETENTION)
--- a/laurelstile-core/src/leased/membership/anti_entropy.rs
+++ b/laurelstile-core/src/leased/membership/anti_entropy.rs
@@ -22,9 +22,9 @@
 /// What is known of a neighbor's directory.
 #[derive(Debug, Default)]
 struct Neighbor {
-    /// The digest that it was last sent.
+    /// The digest that was last sent to the neighbor.
     sent: Option<Digest>,
-    /// The digest that it last sent; `None` for an older version, which sends none.
+    /// The digest that the neighbor last sent; `None` from an older version, which sends none.
     received: Option<Digest>,
     /// The neighbor's digest when its members were last requested.
     requested: Option<Digest>,
@@ -137,7 +137,7 @@
         let with_updates = self
             .neighbors
             .iter()
-            .filter(|(_, one)| one.may_have_updates(own));
+            .filter(|(_, neighbor)| neighbor.may_have_updates(own));
         let with_updates: Vec<SessionId> = with_updates.map(|(session, _)| *session).collect();
         let next = with_updates.iter().find(|session| Some(**session) > last);
         let session = *next.or(with_updates.first())?;
@@ -155,7 +155,7 @@
         self.received.is_some() && self.sent != Some(own)
     }
 
-    /// Whether it may know members that are unknown here. Each state of a neighbor's directory is
+    /// Whether the neighbor may know members that are unknown here. Each state of its directory is
     /// requested once: two directories that keep differing, because one gateway cannot read the
     /// list in the store, would otherwise be requested without end.
     fn may_have_updates(&self, own: Digest) -> bool {
--- a/laurelstile-core/src/leased/membership/directory.rs
+++ b/laurelstile-core/src/leased/membership/directory.rs
@@ -10,8 +10,8 @@
 use super::rank;
 use crate::session::SessionId;
 
-/// How long a claim by peers keeps a gateway in the directory that the list in the store does not
-/// contain: the gateway would have renewed its record twice by then.
+/// How long a gateway stays in the directory that only peers claim to exist and the list in the
+/// store does not contain. A running gateway renews its record twice within this time.
 const CLAIM_TTL: Span = Span::from_secs(16);
 /// Number of parts that are compared separately, so that gateways whose directories differ in one
 /// member exchange one part and not the whole.
@@ -26,6 +26,7 @@
 struct Sources {
     sessions: BTreeSet<SessionId>,
     is_listed: bool,
+    /// When a peer first named the gateway, or its last session ended if that was later.
     claimed_at: Option<Timestamp>,
 }
 
@@ -51,7 +52,7 @@
             added: Vec::new(),
             removed: Vec::new(),
         };
-        directory.sources(own).is_listed = true;
+        directory.entry(own).is_listed = true;
         directory
     }
 
@@ -79,10 +80,10 @@
     /// A member opened a session: entries of the same name with another address are dropped. If it
     /// had no session before, it counts as added again, so that subscribers are notified of it.
     pub fn on_session_opened(&mut self, session: SessionId, member: &Member) {
-        let elsewhere = |known: &Member| known.name == member.name && known != member;
+        let has_other_address = |known: &Member| known.name == member.name && known != member;
         let moved: Vec<Member> = self
             .members()
-            .filter(|one| elsewhere(one))
+            .filter(|known| has_other_address(known))
             .cloned()
             .collect();
         for old in moved {
@@ -90,7 +91,7 @@
                 self.remove(&old);
             }
         }
-        let sources = self.sources(member.clone());
+        let sources = self.entry(member.clone());
         let had_session = !sources.sessions.is_empty();
         sources.sessions.insert(session);
         if !had_session && !self.added.contains(member) {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A session has ended. Its gateway stays known for as long as one that peers claim.
+    /// A session has ended. Its gateway stays known for [`CLAIM_TTL`], as if a peer had claimed it.
     pub fn on_session_closed(&mut self, now: Timestamp, session: SessionId) {
         for sources in self.known.values_mut() {
             if sources.sessions.remove(&session) {
@@ -128,7 +129,7 @@
             self.remove(&member);
         }
         for member in page.members {
-            self.sources(member).is_listed = true;
+            self.entry(member).is_listed = true;
         }
     }
 
@@ -136,14 +137,15 @@
     /// address is known for certain.
     pub fn add_claimed(&mut self, now: Timestamp, members: Vec<Member>) {
         for member in members {
-            if self.has_session_elsewhere(&member) || self.known.contains_key(&member) {
+            if self.is_name_in_use(&member) || self.known.contains_key(&member) {
                 continue;
             }
-            self.sources(member).claimed_at = Some(now);
+            self.entry(member).claimed_at = Some(now);
         }
     }
 
-    fn has_session_elsewhere(&self, member: &Member) -> bool {
+    /// Whether the member's name is this gateway's own, or that of a gateway with a session here.
+    fn is_name_in_use(&self, member: &Member) -> bool {
         if member.name == self.own.name {
             return true;
         }
@@ -179,7 +181,7 @@
         differing.into_iter().cloned().collect()
     }
 
-    fn sources(&mut self, member: Member) -> &mut Sources {
+    fn entry(&mut self, member: Member) -> &mut Sources {
         if !self.known.contains_key(&member) {
             let part = &mut self.parts[part_of(&member)];
             *part = part.wrapping_add(rank::hash_of(&member));
--- a/laurelstile-core/src/leased/membership/mod.rs
+++ b/laurelstile-core/src/leased/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Membership of gateways: which gateways exist, who keeps sessions to whom, and who is notified.
+//! Membership of gateways: which gateways exist, to which others each keeps sessions, and
+//! which of them agents are notified of.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -51,7 +52,7 @@
     /// The peer, once it has introduced itself.
     member: Option<Member>,
     is_dialed: bool,
-    opened: Timestamp,
+    opened_at: Timestamp,
 }
 
 /// The membership as seen by one gateway.
@@ -95,7 +96,7 @@
     SendToPeer(SessionId, ToPeer),
     /// Dial these gateways, repeatedly until they answer.
     Dial {
-        /// The gateways to dial; replaces those of the effect before.
+        /// The gateways to dial; replaces those of the previous [`Self::Dial`].
         members: Vec<Member>,
         /// Whether enough sessions are open that dials of other gateways may be given up.
         is_settled: bool,
@@ -139,7 +140,7 @@
         let peer = Peer {
             member: None,
             is_dialed,
-            opened: now,
+            opened_at: now,
         };
         self.peers.insert(session, peer);
         Introduction::new(&self.own, self.directory.digest())
@@ -273,9 +274,9 @@
         if self.needs_selection {
             return Some(selected_at.after(SELECTION_INTERVAL));
         }
-        let review = self.neighbors.due_at().map(|silent| {
-            let substitute = (silent > selected_at).then_some(silent);
-            substitute.unwrap_or_else(|| selected_at.after(REVIEW_INTERVAL))
+        let review = self.neighbors.due_at().map(|due| {
+            let upcoming = (due > selected_at).then_some(due);
+            upcoming.unwrap_or_else(|| selected_at.after(REVIEW_INTERVAL))
         });
         [review, self.close_due_at].into_iter().flatten().min()
     }
@@ -310,14 +311,14 @@
         }
     }
 
-    /// Whether a member has a session here that it dialed.
+    /// Whether a member has opened a session to this gateway.
     fn has_dialed_here(&self, member: &Member) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| !peer.is_dialed && peer.member.as_ref() == Some(member))
     }
 
     /// Closes sessions that this gateway dialed and does not want, such as those to its seeds.
-    /// Sessions that peers dialed are theirs to close.
+    /// Sessions that peers dialed are closed by those peers.
     fn close_unwanted(
         &mut self,
         now: Timestamp,
@@ -329,7 +330,7 @@
             peer.is_dialed && member.is_some_and(|member| !wanted.contains(member))
         };
         for (session, peer) in self.peers.iter().filter(|(_, peer)| is_unwanted(peer)) {
-            let close_due_at = peer.opened.after(MIN_SESSION_AGE);
+            let close_due_at = peer.opened_at.after(MIN_SESSION_AGE);
             if now >= close_due_at {
                 effects.push(MembershipEffect::Close(*session));
             } else {
--- a/laurelstile-core/src/leased/membership/neighbors.rs
+++ b/laurelstile-core/src/leased/membership/neighbors.rs
@@ -3,7 +3,7 @@
 //! Updates are forwarded from neighbor to neighbor, so a gateway needs only a few sessions. It
 //! dials its successor on a ring of hashed names, which connects all gateways that know each other,
 //! and some that it ranks first in its own and in other zones. The latter keep paths short and
-//! redundant, so that the loss of a gateway partitions no others.
+//! redundant, so that the loss of one gateway does not partition the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,8 @@
 /// Up to this many other gateways, all of them are dialed.
 const ALL_NEIGHBORS: usize = OWN_ZONE_NEIGHBORS + OTHER_ZONE_NEIGHBORS + RING_SUCCESSORS;
 
-/// The selection of neighbors, with the time since when each unconnected one is wanted.
+/// The selection of neighbors, and since when each wanted gateway without a session has lacked one
+/// while it was wanted.
 #[derive(Debug, Default)]
 pub struct Neighbors {
     unconnected_since: BTreeMap<Member, Timestamp>,
@@ -37,7 +38,7 @@
         directory: &Directory,
         connected: &BTreeSet<Member>,
     ) -> BTreeSet<Member> {
-        let others = directory.members().filter(|one| one.name != own.name);
+        let others = directory.members().filter(|member| member.name != own.name);
         let others: Vec<&Member> = others.collect();
         let wanted = if others.len() <= ALL_NEIGHBORS {
             others.into_iter().cloned().collect()
@@ -67,7 +68,7 @@
         let own_zone = others.iter().filter(is_own_zone).copied().collect();
         let other_zones = others
             .iter()
-            .filter(|one| !is_own_zone(one))
+            .filter(|member| !is_own_zone(member))
             .copied()
             .collect();
         let mut wanted = BTreeSet::new();
--- a/laurelstile-core/src/leased/membership/rank.rs
+++ b/laurelstile-core/src/leased/membership/rank.rs
@@ -1,7 +1,7 @@
 //! The order in which a process prefers gateways, by rendezvous hashing.
 //!
-//! Processes choose independently, each gateway is chosen equally often, and a gateway that joins
-//! or leaves affects only the processes that rank it among their first.
+//! Processes choose independently, each gateway is chosen about equally often, and a gateway that
+//! joins or leaves affects only the processes that rank it among their first.
 
 use std::hash::{Hash, Hasher};
 
@@ -17,15 +17,15 @@
 pub const OWN_ZONE_SESSIONS: usize = 10;
 /// Number of gateways of other zones to which an agent keeps sessions.
 pub const OTHER_ZONE_SESSIONS: usize = 6;
-/// Number of further candidates, as substitutes for gateways that do not answer.
+/// Number of further candidates of the own zone, as substitutes for gateways that do not answer.
 const SUBSTITUTES: usize = 4;
 
-/// How long a gateway is dialed without success before the next in rank substitutes it, until it
-/// answers.
+/// How long a gateway is dialed without success before the next in rank is dialed as well, as its
+/// substitute until it answers.
 pub const SUBSTITUTE_AFTER: Span = Span::from_millis(800);
 
-/// Whether a gateway that has been wanted and unconnected since that time needs a substitute;
-/// `None` if it is connected.
+/// Whether a gateway needs a substitute that has been wanted without a session since
+/// `unconnected_since`; `None` if it has a session, or was not wanted yet.
 pub fn needs_substitute(now: Timestamp, unconnected_since: Option<Timestamp>) -> bool {
     unconnected_since.is_some_and(|since| now.since(since) > SUBSTITUTE_AFTER)
 }
@@ -49,7 +49,7 @@
     (chosen, answering)
 }
 
-/// Preference of a process for a gateway: deterministic for a pair, and otherwise uniform.
+/// Preference of a process for a gateway; the highest ranks first. A uniform hash of the two names.
 pub fn affinity(process: &str, gateway: &str) -> u64 {
     let mut hasher = XxHash64::with_seed(SEED);
     (process, gateway).hash(&mut hasher);
--- a/laurelstile-core/src/leased/membership/subscribers.rs
+++ b/laurelstile-core/src/leased/membership/subscribers.rs
@@ -1,4 +1,4 @@
-//! Subscribers: the agents that a gateway notifies of gateways.
+//! Subscribers: the agents that a gateway notifies of changes in the membership.
 //!
 //! An agent is sent only the few gateways that it ranks first, so that its cost does not grow with
 //! the fleet. Updates are sent in batches, since many gateways become known at once when many
@@ -48,7 +48,7 @@
     own: Member,
     by_session: BTreeMap<SessionId, Subscriber>,
     notified_at: Option<Timestamp>,
-    /// Sessions that opened since updates were last sent.
+    /// Sessions subscribed since the last [`Self::take_updates`].
     new_sessions: BTreeSet<SessionId>,
 }
 
@@ -64,7 +64,7 @@
     }
 
     /// Subscribes an agent by the summary in its first message. It is sent all its candidates if it
-    /// knows too few, or if it knows others and ranks this gateway among the first.
+    /// knows too few, or if it knows different ones and ranks this gateway among the first.
     pub fn subscribe(
         &mut self,
         session: SessionId,
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Selection {
     names: Vec<String>,
-    /// How many of them answer, as far as is known.
+    /// How many of them need no substitute.
     answering: usize,
 }
 
@@ -58,11 +58,11 @@
     /// Adds gateways. A known name with a new address replaces the old entry.
     pub fn add_members(&mut self, members: Vec<Member>) {
         for member in members {
-            let has_moved = self
+            let is_new_or_moved = self
                 .known
                 .get(&member.name)
                 .is_none_or(|known| known.member.address != member.address);
-            if has_moved {
+            if is_new_or_moved {
                 let known = KnownGateway {
                     member,
                     unconnected_since: None,
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Removes an unconnected gateway that has not answered for too long, until it is named again.
+    /// Removes the gateways at an address that has not answered for too long, unless they have a
+    /// session. [`Self::add_members`] may add them again.
     pub fn forget(&mut self, address: std::net::SocketAddr) {
         let connected = &self.connected;
         self.known
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -377,10 +377,12 @@
     /// The echo of the start's message is too old.
     #[serde(rename = "e")]
     StaleSender,
-    /// The worker is draining, dead, not yet controlled by the agent, or on probation.
+    /// The worker is draining, dead, not yet controlled by the agent, on probation, or at its limit
+    /// of tasks.
     #[serde(rename = "u")]
     Unavailable,
-    /// The required resources did not become free in time.
+    /// The required resources were not free, or did not become free within the time that the batch
+    /// allowed.
     #[serde(rename = "f")]
     Full,
     /// The worker has seen this run or a later one of the task.
@@ -392,7 +394,7 @@
     /// The worker rejected the start or did not answer; the run is stopped and cannot start.
     #[serde(rename = "r")]
     Refused,
-    /// The task waited at the agent for longer than the batch allowed.
+    /// The run was stopped while it waited at the agent for free resources.
     #[serde(rename = "x")]
     Withdrawn,
 }
@@ -450,7 +452,7 @@
         }
     }
 
-    /// Drops the directory hash.
+    /// The member that is introduced, without its directory hash.
     pub fn into_member(self) -> Member {
         Member {
             name: self.name,
@@ -475,11 +477,12 @@
     /// Requests the members of those parts of the receiver's directory whose hashes differ from
     /// these. Without an answer, another neighbor is asked.
     MembersWanted(PartDigests),
-    /// Members that the receiver may not know. See [`ToPeer::Digest`].
+    /// Members that the receiver may not know. Delay and loss matter as little as for
+    /// [`ToPeer::Digest`].
     Members(Vec<Member>),
     /// The evacuated zones, as the sender knows them. May arrive as late as evacuations may take
-    /// effect. If it is lost, each gateway reads the store, and agents are notified
-    /// from any of their gateways.
+    /// effect. If it is lost, each gateway reads the store, and agents are notified by any of their
+    /// gateways.
     Evacuations(Evacuations),
     /// Crashes of workers with the tasks that ran there. Should arrive before the caller resubmits
     /// its job, about a second later. If it is lost, the task is tried on more workers.
@@ -488,8 +491,9 @@
     /// May arrive as late as cancellations may take effect. If it is lost, the job completes or
     /// fails at its deadline.
     Cancelled(Vec<JobId>),
-    /// Several workers have crashed while running this task. As for [`ToPeer::Crashes`]; if it is
-    /// lost, the receiver does not contain the task's queue.
+    /// Several workers have crashed while running this task. Should arrive as early as
+    /// [`ToPeer::Crashes`]. If it is lost, the receiver may not restrict the task's queue to a part
+    /// of the workers.
     Suspect {
         /// Name of the task's queue.
         queue: String,
--- a/laurelstile-core/src/leased/redial.rs
+++ b/laurelstile-core/src/leased/redial.rs
@@ -18,8 +18,8 @@
 /// again.
 pub const MAX_DIAL_ATTEMPTS: u32 = 60;
 
-/// Delay before the next dial after this many consecutive failures. The first dials follow closely,
-/// since machines that lost power together return within a second of each other.
+/// Delay before the next dial after this many consecutive failures. The first delays are short,
+/// since machines that lost power together start again within a second of each other.
 pub fn redial_delay(failures: u32) -> Span {
     backed_off(MIN_REDIAL_DELAY, failures).min(MAX_REDIAL_DELAY)
 }
--- a/laurelstile-core/src/leased/timing.rs
+++ b/laurelstile-core/src/leased/timing.rs
@@ -8,10 +8,10 @@
 //! received, whether or not the worker answers stops. The gateway retries nothing before
 //! [`AGENT_EXPIRY`], and callers resubmit [`CALLER_RETRY_DELAY`] after their connection broke:
 //!
-//! | from | to | margin | used by |
+//! | from | to | margin | needed for |
 //! | --- | --- | --- | --- |
-//! | runs over, 1,165 ms | agent expiry, 1,265 ms | 100 ms | kill, and report of ends |
-//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: runs start even later |
+//! | runs over, 1,165 ms | agent expiry, 1,265 ms | 100 ms | the kill, and the report of ends |
+//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: runs start later still |
 //!
 //! `tests/leased_timing.rs` checks these inequalities.
 
@@ -27,20 +27,21 @@
 pub const MAX_START_ECHO_AGE: Span = Span::from_millis(300);
 /// Maximum time for a stop to reach a worker and take effect, and for a kill after a lease expired.
 pub const MAX_STOP_TIME: Span = Span::from_millis(100);
-/// From the latest reading of an agent's clock that a gateway has received until the lease of the
-/// gateway's last run there has expired.
+/// Maximum time from the latest reading of an agent's clock that a gateway has received until the
+/// leases of all the gateway's runs there have expired.
 pub const RUNS_OVER_AFTER: Span = Span(OWNER_TIMEOUT.0 + MAX_LEASE_DURATION.0);
 /// How long after a broken connection callers resubmit their job, at any gateway.
 pub const CALLER_RETRY_DELAY: Span = Span::from_millis(1_300);
-/// After this silence of an agent its runs are over: the agent has stopped them, or their leases
-/// have expired.
+/// Silence of an agent after which a gateway may retry the tasks that it had there: the agent has
+/// stopped their runs, or their leases have expired.
 pub const AGENT_EXPIRY: Span =
     Span::from_millis((OWNER_TIMEOUT.0 + MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0) / 1_000);
-/// Heartbeat interval of a session that has unresolved tasks or had some within [`BUSY_LINGER`].
+/// Heartbeat interval of an agent to a gateway that has runs or unacknowledged ends there, or that
+/// requested a start within [`BUSY_LINGER`]. Also the minimum interval of a gateway's heartbeats.
 pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
 /// How long a session counts as busy after the last start that the gateway requested.
 pub const BUSY_LINGER: Span = Span::from_secs(3);
-/// Heartbeat interval of other sessions.
+/// Heartbeat interval of an agent to other gateways.
 pub const IDLE_HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
 /// An agent that has been silent for longer gets no starts while it has unresolved tasks.
 pub const BUSY_SUSPECT_AFTER: Span = Span::from_millis(350);
--- a/laurelstile-core/tests/leased_membership.rs
+++ b/laurelstile-core/tests/leased_membership.rs
@@ -17,7 +17,7 @@
 use rstest::rstest;
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Time within which the directories of a fleet without delays converge, in milliseconds.
+/// Time within which directories converge if messages are not delayed, in milliseconds.
 const CONVERGENCE_MILLIS: u64 = 6_000;
 
 fn member(number: usize) -> Member {
@@ -150,7 +150,8 @@
         }
     }
 
-    fn most_sessions(&self) -> usize {
+    /// Number of sessions of the gateway that has the most.
+    fn max_sessions(&self) -> usize {
         let count = |gateway: usize| {
             let open = self.sessions.iter().flatten();
             open.filter(|(one, other)| *one == gateway || *other == gateway)
@@ -193,7 +194,7 @@
     for gateway in 0..count {
         assert_eq!(fleet.known_count(gateway), count, "gateway {gateway}");
     }
-    assert!(fleet.most_sessions() <= 24, "{}", fleet.most_sessions());
+    assert!(fleet.max_sessions() <= 24, "{}", fleet.max_sessions());
 }
 
 /// The only path to the last gateway leads over single sessions.
@@ -470,7 +471,7 @@
     }
     rig.to_peers.clear();
     let crash = laurelstile_core::leased::crashes::WorkerCrash {
-        incarnation: "life-1".into(),
+        incarnation: "worker-1".into(),
         runs: 1,
         tasks: vec![CrashedTask {
             task: task(1, 0),
--- a/laurelstile-core/tests/leased_subset.rs
+++ b/laurelstile-core/tests/leased_subset.rs
@@ -67,10 +67,10 @@
     }
     assert_eq!(sessions.len(), gateways, "no gateway is left out");
     let mean = agents * 16 / gateways;
-    let least = sessions.values().min().expect("no sessions");
-    let most = sessions.values().max().expect("no sessions");
-    assert!(*least * 2 > mean, "{least} of {mean}");
-    assert!(*most < mean * 2, "{most} of {mean}");
+    let min = sessions.values().min().expect("no sessions");
+    let max = sessions.values().max().expect("no sessions");
+    assert!(*min * 2 > mean, "{min} sessions, mean {mean}");
+    assert!(*max < mean * 2, "{max} sessions, mean {mean}");
 }
 
 #[test]
@@ -87,13 +87,13 @@
 
 #[test]
 fn other_zones_make_up_for_a_zone_with_few_gateways() {
-    let mut subset = Subset::new("agent".into(), "lonely".into());
+    let mut subset = Subset::new("agent".into(), "small".into());
     let mut members: Vec<Member> = (0..50).map(gateway).collect();
-    members[0].zone = "lonely".into();
+    members[0].zone = "small".into();
     subset.add_members(members);
     let wanted = subset.wanted(at(0));
     assert_eq!(wanted.len(), 16);
-    assert!(wanted.iter().any(|member| member.zone == "lonely"));
+    assert!(wanted.iter().any(|member| member.zone == "small"));
 }
 
 #[test]
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -51,7 +51,7 @@
 
 /// The gateway that the rig's helper functions act as.
 pub const GATEWAY: Incarnation = Incarnation(7);
-/// Heartbeat times long enough that tests need not send any.
+/// Times of a worker's heartbeats, long enough that tests need not send any.
 pub const RARE_HEARTBEATS: HeartbeatTiming = HeartbeatTiming {
     interval: Span::from_secs(3_600),
     grace: Span::from_secs(3),
@@ -85,7 +85,7 @@
 }
 
 impl AgentRig {
-    /// An agent with a session to a gateway that has not heard from its worker.
+    /// An agent that has a session to [`GATEWAY`] and no heartbeat of a worker yet.
     pub fn new() -> Self {
         Self::with_heartbeats(RARE_HEARTBEATS)
     }
@@ -127,8 +127,8 @@
     /// Free processor in the last report to a session, in thousandths of a core.
     pub fn reported_free_cpu(&self, session: SessionId) -> Option<u32> {
         let reports = self.sent.iter().rev().filter(|(to, _)| *to == session);
-        let mut rooms = reports.filter_map(|(_, message)| message.report);
-        rooms.next().map(|report| report.free.cpu_millis)
+        let mut reports = reports.filter_map(|(_, message)| message.report);
+        reports.next().map(|report| report.free.cpu_millis)
     }
 
     /// Resources offered to a session, in order.
@@ -182,7 +182,7 @@
                 AgentEffect::Command(command) => self.commands.push_back(command),
                 AgentEffect::Send { session, message } => self.sent.push((session, message)),
                 AgentEffect::Close(session) => self.closed.push(session),
-                AgentEffect::StoreRecord(known) => self.stored_records.push(known),
+                AgentEffect::StoreRecord(record) => self.stored_records.push(record),
                 AgentEffect::AnswerDeregistration(id) => self.deregistrations.push(id.to_string()),
                 AgentEffect::Decided(decision) => self.decisions.push(decision),
                 AgentEffect::Stopped => self.stopped = true,
--- a/laurelstile-core/tests/leased_support/restarting_worker.rs
+++ b/laurelstile-core/tests/leased_support/restarting_worker.rs
@@ -50,7 +50,8 @@
     rig
 }
 
-/// The worker answers as a new incarnation, in whose name later commands are answered.
+/// The worker answers as a new incarnation, and then answers the next watch and later commands as
+/// that incarnation.
 pub fn answer_restarted(rig: &mut AgentRig, now: Timestamp, started_at: u64, shown: RunLists) {
     rig.answer_watch_of(now, Some(StartTime(started_at)), Ok(shown.clone()));
     rig.incarnation = incarnation(started_at);
--- a/laurelstile-types/src/platform.rs
+++ b/laurelstile-types/src/platform.rs
@@ -20,9 +20,9 @@
 /// A transaction: its writes take effect only if all conditions hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Rows that must have exactly these values, or not exist if `None`.
+    /// Rows that must have exactly these values; those whose value is `None` must not exist.
     pub conditions: Vec<Row>,
-    /// Rows to write, or to delete if `None`.
+    /// Rows to write; those whose value is `None` are deleted.
     pub writes: Vec<Row>,
 }
 
@@ -57,7 +57,7 @@
     Backend,
 }
 
-/// State of a machine in the platform's list, which lags behind.
+/// State of a machine in the platform's list, which may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
@@ -76,7 +76,7 @@
     pub name: String,
     /// The kind of process that it runs.
     pub role: MachineRole,
-    /// Address of the gateway's mesh port, or of the agent's port.
+    /// Address where the gateway or the agent accepts sessions.
     pub address: String,
     /// Zone of the machine.
     pub zone: ZoneName,
--- a/laurelstile-wire/examples/session_cost.rs
+++ b/laurelstile-wire/examples/session_cost.rs
@@ -73,15 +73,15 @@
     for _ in 0..count {
         let _ = outgoing.send(message.clone());
     }
-    let (never, nothing) = mpsc::unbounded_channel::<ToPeer>();
+    let (unused, no_messages) = mpsc::unbounded_channel::<ToPeer>();
     let mut received = 0;
     let sending = session::run(one, messages, |_: ToPeer| {});
-    let receiving = session::run(other, nothing, |_: ToPeer| {
+    let receiving = session::run(other, no_messages, |_: ToPeer| {
         received += 1;
     });
     drop(outgoing);
     tokio::join!(sending, receiving);
-    drop(never);
+    drop(unused);
     assert_eq!(received, count);
 }
 
--- a/laurelstile-wire/src/error.rs
+++ b/laurelstile-wire/src/error.rs
@@ -37,7 +37,7 @@
     /// The other side's proof of the shared secret is invalid.
     #[error("the other side's proof of the shared secret is invalid")]
     Proof,
-    /// Connecting, the websocket upgrade or the connecting or the hello timed out.
+    /// Opening the connection, the websocket upgrade or the hello timed out.
     #[error("connecting or the hello timed out")]
     Timeout,
 }
--- a/laurelstile-wire/src/traffic.rs
+++ b/laurelstile-wire/src/traffic.rs
@@ -1,7 +1,7 @@
 //! Traffic counters of all sessions, by direction and kind of message.
 //!
-//! They are process-wide, like the metrics that they also feed, since all sessions share the
-//! machine's link.
+//! They are process-wide, like the metrics that are updated with them, since all sessions share the
+//! machine's network link.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
