--- a/laurelstile-core/tests/leased_agent.rs
+++ b/laurelstile-core/tests/leased_agent.rs
@@ -461,7 +461,7 @@
 #[test]
 fn a_recorded_worker_is_used_before_its_first_heartbeat() {
     let mut rig = AgentRig::new();
-    rig.recall(at(5_000), "life-1", cpu(2_000));
+    rig.load_record(at(5_000), "life-1", cpu(2_000));
     let fenced = rig.last_token();
     rig.answer_watch_as(at(5_001), Err(Rejection::Fenced));
     rig.tick(at(5_002));
@@ -479,7 +479,7 @@
 #[test]
 fn a_recorded_incarnation_that_has_ended_is_not_used() {
     let mut rig = AgentRig::new();
-    rig.recall(at(5_000), "life-1", cpu(2_000));
+    rig.load_record(at(5_000), "life-1", cpu(2_000));
     let before = rig.last_token();
     let answer = Err(CommandError::IncarnationEnded);
     let incarnation = "life-1".into();
--- a/laurelstile-core/tests/leased_gateway.rs
+++ b/laurelstile-core/tests/leased_gateway.rs
@@ -360,7 +360,7 @@
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(1_000));
     rig.join(at(0), 2, "agent-2", cpu(8_000));
-    rig.report_pace(at(1), 2, 0, cpu(8_000), 600);
+    rig.report_run_time(at(1), 2, 0, cpu(8_000), 600);
     rig.submit(at(10), 1, job(1, 4, 200));
     let placed: Vec<(u64, usize)> = rig
         .starts
@@ -374,7 +374,7 @@
 fn workers_that_are_all_slow_are_used() {
     let mut rig = GatewayRig::new();
     rig.join(at(0), 1, "agent-1", cpu(8_000));
-    rig.report_pace(at(1), 1, 0, cpu(8_000), 600);
+    rig.report_run_time(at(1), 1, 0, cpu(8_000), 600);
     rig.submit(at(10), 1, job(1, 4, 200));
     assert_eq!(rig.next_start().1.tasks.len(), 4);
 }
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -221,7 +221,7 @@
     }
 
     /// The agent reads its predecessor's record of the worker, with an old clock reading.
-    pub fn recall(&mut self, now: Timestamp, incarnation: &str, capacity: Resources) {
+    pub fn load_record(&mut self, now: Timestamp, incarnation: &str, capacity: Resources) {
         let registration = Registration {
             incarnation: incarnation.into(),
             service: "parcels".into(),
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -259,7 +259,7 @@
     }
 
     /// An agent reports `free` resources and its relative run time.
-    pub fn report_pace(
+    pub fn report_run_time(
         &mut self,
         now: Timestamp,
         session: u64,
--- a/laurelstile-wire/src/liveness.rs
+++ b/laurelstile-wire/src/liveness.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If the system rejects an option.
-pub fn configure(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
--- a/laurelstile-wire/src/session.rs
+++ b/laurelstile-wire/src/session.rs
@@ -68,7 +68,7 @@
         .await
         .map_err(|_| WireError::Timeout)?
         .map_err(connect_error)?;
-    liveness::configure(&stream).map_err(WireError::Connect)?;
+    liveness::set_socket_options(&stream).map_err(WireError::Connect)?;
     let uri = format!("ws://{address}/");
     let upgrading = client_async_with_config(uri, stream, Some(config()));
     let (mut socket, _) = tokio::time::timeout(HELLO_TIMEOUT, upgrading)
@@ -111,7 +111,7 @@
     local: &LocalNode,
     expected: &[NodeRole],
 ) -> Result<(Socket, NodeRole, Remote), WireError> {
-    liveness::configure(&stream).map_err(WireError::Connect)?;
+    liveness::set_socket_options(&stream).map_err(WireError::Connect)?;
     let upgrading = accept_async_with_config(stream, Some(config()));
     let mut socket = tokio::time::timeout(HELLO_TIMEOUT, upgrading)
         .await
--- a/laurelstiled/src/leased/sessions.rs
+++ b/laurelstiled/src/leased/sessions.rs
@@ -15,7 +15,7 @@
 use laurelstile_types::time::Span;
 use laurelstile_wire::error::WireError;
 use laurelstile_wire::hello::{LocalNode, NodeRole, Socket};
-pub use laurelstile_wire::liveness::configure;
+pub use laurelstile_wire::liveness::set_socket_options;
 use laurelstile_wire::session;
 use metrics::counter;
 use tokio::task::JoinHandle;
