--- a/laurelstile-core/src/leased/input.rs
+++ b/laurelstile-core/src/leased/input.rs
@@ -131,7 +131,8 @@
 }
 
 thread_local! {
-    /// One of each per thread: allocating one costs more than compressing an input.
+    /// Reused within each thread, as is [`DECOMPRESSOR`]: allocating one costs more than
+    /// compressing an input.
     static COMPRESSOR: RefCell<Compress> = RefCell::new(Compress::new(Compression::fast(), false));
     static DECOMPRESSOR: RefCell<Decompress> = RefCell::new(Decompress::new(false));
 }
--- a/laurelstile-core/src/leased/membership/directory.rs
+++ b/laurelstile-core/src/leased/membership/directory.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Applies a page of the list in the store. A record with this gateway's own name stems from
-    /// before its start and may have an old address; it is ignored.
+    /// Applies a page of the list in the store. A record with this gateway's own name is ignored:
+    /// it may stem from before its start and have an old address.
     pub fn read_page(&mut self, now: Timestamp, mut page: Page) {
         let own = self.own.clone();
         page.members.retain(|member| member.name != own.name);
--- a/laurelstile-core/src/leased/membership/rank.rs
+++ b/laurelstile-core/src/leased/membership/rank.rs
@@ -63,13 +63,14 @@
     hasher.finish()
 }
 
-/// Hash of a name: its position on the ring.
+/// Hash of a name, which orders gateways on the ring of neighbors and in the list in the store.
 pub fn hash_of_name(name: &str) -> u64 {
     XxHash64::oneshot(SEED, name.as_bytes())
 }
 
-/// The gateways to which an agent may want sessions: the first in its rank of its own and of other
-/// zones, and substitutes for those that do not answer. Bounded independently of the fleet's size.
+/// The gateways to which an agent may want sessions: those that it ranks first in its own zone and
+/// in other zones, and substitutes for those that do not answer. Their number does not grow with
+/// the fleet.
 #[derive(Clone, Debug)]
 pub struct Candidates {
     agent: String,
--- a/laurelstile-core/src/leased/membership/subset.rs
+++ b/laurelstile-core/src/leased/membership/subset.rs
@@ -3,9 +3,9 @@
 //! Each change of a worker's resources is sent to every gateway with a session, so with sessions
 //! between all gateways and agents the messages would grow with the product of both. An agent
 //! therefore keeps sessions to a subset: gateways of its own zone first, and some of other zones,
-//! so that resources are shared where a zone has too few or loses its gateways. The subset is
-//! chosen by [`rank`](super::rank), which spreads agents evenly over gateways and moves few
-//! sessions when a gateway joins or leaves.
+//! so that its worker can run tasks of zones that have too few resources, or of any zone if its own
+//! loses its gateways. The subset is chosen by [`rank`](super::rank), which spreads agents evenly
+//! over gateways and moves few sessions when a gateway joins or leaves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -46,7 +46,8 @@
     /// Stops tasks; each is answered by its end.
     #[serde(rename = "x")]
     Stop(Vec<TaskId>),
-    /// Gateways among the agent's candidates that this session has not sent yet.
+    /// Gateways among the agent's candidates that the agent may not know, or that have reconnected
+    /// to the sender.
     #[serde(rename = "m")]
     Members(Vec<Member>),
     /// Tasks that wait at the gateway for free resources.
--- a/laurelstile-core/src/leased/timing.rs
+++ b/laurelstile-core/src/leased/timing.rs
@@ -11,7 +11,7 @@
 //! | from | to | margin | needed for |
 //! | --- | --- | --- | --- |
 //! | runs over, 1,165 ms | agent expiry, 1,265 ms | 100 ms | the kill, and the report of ends |
-//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: runs start later still |
+//! | agent expiry, 1,265 ms | callers resubmit, 1,300 ms | 35 ms | nothing: runs start later |
 //!
 //! `tests/leased_timing.rs` checks these inequalities.
 
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -46,6 +46,7 @@
     pub stopped: bool,
     /// Time of the last event.
     now: Timestamp,
+    /// Number of batches made by [`Self::batch`].
     batches: u64,
 }
 
@@ -56,7 +57,7 @@
     interval: Span::from_secs(3_600),
     grace: Span::from_secs(3),
 };
-/// The lowest fencing token of the rig's commands is above this.
+/// Fencing tokens of the rig's commands are greater than this.
 pub const TOKEN_FLOOR: FenceToken = FenceToken(5_000_000);
 /// Session of [`GATEWAY`].
 pub const SESSION: SessionId = SessionId(70);
@@ -234,7 +235,7 @@
         self.event(now, AgentEvent::RecordLoaded(registration));
     }
 
-    /// Fencing token of the latest command.
+    /// Fencing token of the latest unanswered command.
     pub fn last_token(&self) -> Option<u64> {
         self.commands.back().map(|command| command.token.0)
     }
--- a/laurelstile-core/tests/leased_support/gateway_rig.rs
+++ b/laurelstile-core/tests/leased_support/gateway_rig.rs
@@ -50,6 +50,7 @@
     pub stopped: bool,
     /// Versions of the configurations put in force, in order.
     pub in_force: Vec<u64>,
+    /// Number of ends sent by [`Self::end`].
     ends: u64,
 }
 
@@ -130,7 +131,7 @@
         self.event(now, GatewayEvent::Tick);
     }
 
-    /// Handles ticks every 500 ms, the longest interval between the driver's ticks.
+    /// Handles ticks every 500 ms, the longest interval at which the gateway must be woken.
     pub fn pass_time(&mut self, from_millis: u64, to_millis: u64) {
         for millis in (from_millis..to_millis).step_by(500) {
             self.tick(at(millis));
--- a/laurelstile-types/src/configuration.rs
+++ b/laurelstile-types/src/configuration.rs
@@ -155,16 +155,16 @@
         pool: PoolName,
     },
     /// A number is out of range.
-    #[error("{place}: {value} is not in {least}..={most}")]
+    #[error("{place}: {value} is not in {min}..={max}")]
     Range {
         /// Path of the number.
         place: String,
         /// The invalid number.
         value: u64,
         /// Minimum.
-        least: u64,
+        min: u64,
         /// Maximum.
-        most: u64,
+        max: u64,
     },
     /// A tenant's quota exceeds the largest pool.
     #[error("{place}: a quota of {quota} slots exceeds the largest pool, which has {capacity}")]
@@ -341,14 +341,14 @@
     }
 }
 
-fn check_range(place: String, value: u64, least: u64, most: u64) -> Result<(), ConfigurationError> {
-    if (least..=most).contains(&value) {
+fn check_range(place: String, value: u64, min: u64, max: u64) -> Result<(), ConfigurationError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(ConfigurationError::Range {
         place,
         value,
-        least,
-        most,
+        min,
+        max,
     })
 }
--- a/laurelstile-types/src/json.rs
+++ b/laurelstile-types/src/json.rs
@@ -20,7 +20,7 @@
     },
     /// The text is not JSON, or not of the expected type.
     #[error("{}: at {place}: {reason}", text.name())]
-    Shape {
+    Malformed {
         /// Path of the field within the file.
         place: String,
         /// What is wrong with the field.
@@ -49,14 +49,14 @@
 /// Parses the text of a JSON file called `name` into `T`.
 ///
 /// # Errors
-/// [`JsonFileError::Shape`] if the text is not a `T`.
+/// [`JsonFileError::Malformed`] if the text is not a `T`.
 pub fn parse_json<T: DeserializeOwned>(name: &str, text: String) -> Result<T, JsonFileError> {
     let deserializer = &mut serde_json::Deserializer::from_str(&text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
         let place = error.path().to_string();
         let reason = error.into_inner();
         let at = offset_of(&text, reason.line(), reason.column());
-        JsonFileError::Shape {
+        JsonFileError::Malformed {
             place,
             reason,
             text: NamedSource::new(name, text),
--- a/laurelstile-types/tests/configuration.rs
+++ b/laurelstile-types/tests/configuration.rs
@@ -65,7 +65,7 @@
     std::fs::write(&path, file.to_string()).expect("cannot write the file");
     let error = read_json_file::<Configuration>(&path).expect_err("the unknown field was accepted");
     std::fs::remove_file(&path).expect("cannot remove the file");
-    assert!(matches!(error, JsonFileError::Shape { .. }));
+    assert!(matches!(error, JsonFileError::Malformed { .. }));
     let text = error.to_string();
     assert!(text.contains("pools[0].backends[0]"), "{text}");
     assert!(text.contains("slotz"), "{text}");
