--- a/laurelstile-core/src/leased/evacuation.rs
+++ b/laurelstile-core/src/leased/evacuation.rs
@@ -37,12 +37,12 @@
     }
 
     /// Replaces the zones by those of a later revision; an older or equal revision is ignored.
-    pub fn update(&mut self, newer: Self) -> Update {
-        if newer.revision <= self.revision {
+    pub fn update(&mut self, received: Self) -> Update {
+        if received.revision <= self.revision {
             return Update::Stale;
         }
-        let has_changed = newer.zones != self.zones;
-        *self = newer;
+        let has_changed = received.zones != self.zones;
+        *self = received;
         if has_changed {
             Update::Changed
         } else {
--- a/laurelstile-core/src/leased/membership/directory.rs
+++ b/laurelstile-core/src/leased/membership/directory.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A session has ended. Its gateway stays known for [`CLAIM_TTL`], as if a peer had claimed it.
+    /// A session has ended. Its gateway stays known for `CLAIM_TTL`, as if a peer had claimed it.
     pub fn on_session_closed(&mut self, now: Timestamp, session: SessionId) {
         for sources in self.known.values_mut() {
             if sources.sessions.remove(&session) {
--- a/laurelstile-core/src/leased/membership/subscribers.rs
+++ b/laurelstile-core/src/leased/membership/subscribers.rs
@@ -110,8 +110,8 @@
     /// Gateways are gone: the next in rank replace them as candidates.
     pub fn on_removed(&mut self, removed: &[Member], directory: &Directory) {
         for subscriber in self.by_session.values_mut() {
-            let had = |member: &Member| subscriber.candidates.contains(member);
-            if !removed.iter().any(had) {
+            let was_candidate = |member: &Member| subscriber.candidates.contains(member);
+            if !removed.iter().any(was_candidate) {
                 continue;
             }
             let candidates = subscriber.candidates.reselected(directory.members());
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -446,13 +446,13 @@
         self.fail_watch(now, CommandError::ConnectionRefused);
     }
 
-    fn fail_watch(&mut self, now: Timestamp, failure: CommandError) {
+    fn fail_watch(&mut self, now: Timestamp, error: CommandError) {
         self.take_watches();
         self.event(
             now,
             AgentEvent::Watched {
                 incarnation: self.incarnation.clone(),
-                answer: Err(failure),
+                answer: Err(error),
             },
         );
     }
--- a/laurelstile-core/tests/leased_support/restarting_worker.rs
+++ b/laurelstile-core/tests/leased_support/restarting_worker.rs
@@ -52,10 +52,10 @@
 
 /// The worker answers as a new incarnation, and then answers the next watch and later commands as
 /// that incarnation.
-pub fn answer_restarted(rig: &mut AgentRig, now: Timestamp, started_at: u64, shown: RunLists) {
-    rig.answer_watch_of(now, Some(StartTime(started_at)), Ok(shown.clone()));
+pub fn answer_restarted(rig: &mut AgentRig, now: Timestamp, started_at: u64, lists: RunLists) {
+    rig.answer_watch_of(now, Some(StartTime(started_at)), Ok(lists.clone()));
     rig.incarnation = incarnation(started_at);
-    rig.answer_watch(now, shown);
+    rig.answer_watch(now, lists);
 }
 
 /// An agent whose worker crashed, restarted under the same id, and is available again.
--- a/laurelstile-wire/src/liveness.rs
+++ b/laurelstile-wire/src/liveness.rs
@@ -17,7 +17,8 @@
 /// Unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets the options, and disables Nagle's algorithm.
+/// Enables this module's time-outs and keepalive probes on a connection, and disables Nagle's
+/// algorithm.
 ///
 /// # Errors
 /// If the system rejects an option.
