--- a/laurelstile-core/src/leased/timing.rs
+++ b/laurelstile-core/src/leased/timing.rs
@@ -37,7 +37,8 @@
 pub const AGENT_EXPIRY: Span =
     Span::from_millis((OWNER_TIMEOUT.0 + MAX_LEASE_DURATION.0 + MAX_STOP_TIME.0) / 1_000);
 /// Heartbeat interval of an agent to a gateway that has runs or unacknowledged ends there, or that
-/// requested a start within [`BUSY_LINGER`]. Also the minimum interval of a gateway's heartbeats.
+/// requested a start within [`BUSY_LINGER`]. A gateway sends an agent heartbeats at most this
+/// often, except for the first of a session, which is sent at once.
 pub const BUSY_HEARTBEAT_INTERVAL: Span = Span::from_millis(100);
 /// How long a session counts as busy after the last start that the gateway requested.
 pub const BUSY_LINGER: Span = Span::from_secs(3);
