--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -46,17 +46,18 @@
     pub stopped: bool,
     /// Time of the last event.
     now: Timestamp,
+    /// Number of batches made by [`Self::batch`].
     batches: u64,
 }
 
 /// The gateway that the rig's helper functions act as.
 pub const GATEWAY: Incarnation = Incarnation(7);
-/// Heartbeat times long enough that tests need not send any.
+/// Times of a worker's heartbeats, long enough that tests need not send any.
 pub const RARE_HEARTBEATS: HeartbeatTiming = HeartbeatTiming {
     interval: Span::from_secs(3_600),
     grace: Span::from_secs(3),
 };
-/// The lowest fencing token of the rig's commands is above this.
+/// Fencing tokens of the rig's commands are greater than this.
 pub const TOKEN_FLOOR: FenceToken = FenceToken(5_000_000);
 /// Session of [`GATEWAY`].
 pub const SESSION: SessionId = SessionId(70);
@@ -85,7 +86,7 @@
 }
 
 impl AgentRig {
-    /// An agent with a session to a gateway that has not heard from its worker.
+    /// An agent that has a session to [`GATEWAY`] and no heartbeat of a worker yet.
     pub fn new() -> Self {
         Self::with_heartbeats(RARE_HEARTBEATS)
     }
@@ -127,8 +128,8 @@
     /// Free processor in the last report to a session, in thousandths of a core.
     pub fn reported_free_cpu(&self, session: SessionId) -> Option<u32> {
         let reports = self.sent.iter().rev().filter(|(to, _)| *to == session);
-        let mut rooms = reports.filter_map(|(_, message)| message.report);
-        rooms.next().map(|report| report.free.cpu_millis)
+        let mut reports = reports.filter_map(|(_, message)| message.report);
+        reports.next().map(|report| report.free.cpu_millis)
     }
 
     /// Resources offered to a session, in order.
@@ -182,7 +183,7 @@
                 AgentEffect::Command(command) => self.commands.push_back(command),
                 AgentEffect::Send { session, message } => self.sent.push((session, message)),
                 AgentEffect::Close(session) => self.closed.push(session),
-                AgentEffect::StoreRecord(known) => self.stored_records.push(known),
+                AgentEffect::StoreRecord(record) => self.stored_records.push(record),
                 AgentEffect::AnswerDeregistration(id) => self.deregistrations.push(id.to_string()),
                 AgentEffect::Decided(decision) => self.decisions.push(decision),
                 AgentEffect::Stopped => self.stopped = true,
@@ -221,7 +222,7 @@
     }
 
     /// The agent reads its predecessor's record of the worker, with an old clock reading.
-    pub fn recall(&mut self, now: Timestamp, incarnation: &str, capacity: Resources) {
+    pub fn load_record(&mut self, now: Timestamp, incarnation: &str, capacity: Resources) {
         let registration = Registration {
             incarnation: incarnation.into(),
             service: "parcels".into(),
@@ -234,7 +235,7 @@
         self.event(now, AgentEvent::RecordLoaded(registration));
     }
 
-    /// Fencing token of the latest command.
+    /// Fencing token of the latest unanswered command.
     pub fn last_token(&self) -> Option<u64> {
         self.commands.back().map(|command| command.token.0)
     }
@@ -445,13 +446,13 @@
         self.fail_watch(now, CommandError::ConnectionRefused);
     }
 
-    fn fail_watch(&mut self, now: Timestamp, failure: CommandError) {
+    fn fail_watch(&mut self, now: Timestamp, error: CommandError) {
         self.take_watches();
         self.event(
             now,
             AgentEvent::Watched {
                 incarnation: self.incarnation.clone(),
-                answer: Err(failure),
+                answer: Err(error),
             },
         );
     }
--- a/laurelstile-wire/src/liveness.rs
+++ b/laurelstile-wire/src/liveness.rs
@@ -17,11 +17,12 @@
 /// Unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Sets the options, and disables Nagle's algorithm.
+/// Enables this module's time-outs and keepalive probes on a connection, and disables Nagle's
+/// algorithm.
 ///
 /// # Errors
 /// If the system rejects an option.
-pub fn configure(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
