--- a/laurelstile-core/src/leased/agent/deregistration.rs
+++ b/laurelstile-core/src/leased/agent/deregistration.rs
@@ -18,9 +18,9 @@
 pub struct Deregistration {
     since: Timestamp,
     is_answered: bool,
-    /// Whether it is known to come from the current incarnation. A deregistration carries only
-    /// the worker id, so it may be a delayed one from the previous incarnation; a worker that
-    /// shuts down announces that it is draining first.
+    /// Whether the deregistration is known to come from the current incarnation. The message
+    /// carries only the worker id, so it may be a delayed one from the previous incarnation; a
+    /// worker that shuts down announces that it is draining first.
     is_confirmed: bool,
 }
 
--- a/laurelstile-core/src/leased/agent/events.rs
+++ b/laurelstile-core/src/leased/agent/events.rs
@@ -38,9 +38,9 @@
     },
     /// A message arrived.
     Message {
-        /// Session on which it arrived.
+        /// Session on which the message arrived.
         session: SessionId,
-        /// The message.
+        /// Message from the gateway at the other end of the session.
         message: ToAgent,
     },
     /// The worker registered or sent a heartbeat.
@@ -112,7 +112,7 @@
     pub incarnation: WorkerIncarnation,
     /// Fencing token of the agent.
     pub token: FenceToken,
-    /// What the worker is to do.
+    /// Operation that the worker is to carry out.
     pub kind: CommandKind,
 }
 
@@ -123,7 +123,7 @@
     Start {
         /// The run to start.
         run: RunId,
-        /// Input of its job.
+        /// Input of the run's job.
         input: JobInput,
         /// End of the lease, on the worker's clock.
         lease_until: WorkerClock,
@@ -150,9 +150,9 @@
 pub enum AgentEffect {
     /// Send a message.
     Send {
-        /// Session to send it on.
+        /// Session to send the message on.
         session: SessionId,
-        /// The message.
+        /// Message to the gateway at the other end of the session.
         message: FromAgent,
     },
     /// Close a session.
@@ -225,13 +225,13 @@
 /// Why the contents of a heartbeat are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatIgnoreReason {
-    /// Its incarnation has ended, and another one is current.
+    /// The incarnation that sent the heartbeat has ended, and another one is current.
     EndedIncarnation,
-    /// Its incarnation has deregistered.
+    /// The incarnation that sent the heartbeat has deregistered.
     DeregisteredIncarnation,
-    /// It carries no start time, but the current incarnation has one.
+    /// The heartbeat carries no start time, but the current incarnation has one.
     NoStartTime,
-    /// It names another service than the worker's.
+    /// The heartbeat names another service than the worker's.
     OtherService,
 }
 
@@ -250,9 +250,9 @@
 /// A run that ended together with its worker's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostRun {
-    /// The run.
+    /// Task, and number of the task's run.
     pub run: RunId,
-    /// Time since its start was sent.
+    /// Time since the run's start command was sent.
     pub age: Span,
 }
 
@@ -272,18 +272,18 @@
     IncarnationStarted {
         /// The new incarnation.
         incarnation: WorkerIncarnation,
-        /// How the agent learned of it.
+        /// How the agent learned of the incarnation.
         source: IncarnationSource,
-        /// Whether it is draining.
+        /// Whether the incarnation was already draining when it became current.
         draining: bool,
     },
     /// A heartbeat was answered, and its contents were ignored.
     HeartbeatIgnored {
-        /// Incarnation that it names.
+        /// Incarnation that the heartbeat names.
         incarnation: WorkerIncarnation,
-        /// Why it was ignored.
+        /// Why the heartbeat was ignored.
         reason: HeartbeatIgnoreReason,
-        /// Whether it reports the worker as draining.
+        /// Whether the heartbeat reports the worker as draining.
         draining: bool,
         /// Sequence number of the heartbeat.
         sequence: u64,
@@ -325,14 +325,14 @@
         gateway: Incarnation,
         /// Age of the gateway's latest echo.
         silence: Span,
-        /// Number of its runs.
+        /// Number of runs at this agent that the gateway owns.
         runs: usize,
     },
     /// A stop has been unanswered for longer than a stop may take.
     StopUnanswered {
-        /// The run.
+        /// Run whose stop is unanswered.
         run: RunId,
-        /// Why it is being stopped.
+        /// Why the run is being stopped.
         reason: &'static str,
         /// Time since the stop began, or since it was restarted for another incarnation.
         age: Span,
@@ -345,7 +345,7 @@
         incarnation: WorkerIncarnation,
         /// How the agent learned of the end.
         end: IncarnationEnd,
-        /// Runs that ended with it.
+        /// Runs that ended with the incarnation.
         runs: Vec<LostRun>,
     },
     /// The worker reported a changed capacity.
@@ -364,7 +364,7 @@
     },
     /// The worker's zone was evacuated, or its evacuation was revoked.
     Evacuated {
-        /// Whether it is evacuated now.
+        /// Whether the zone is evacuated now.
         is_evacuated: bool,
         /// Store revision of the list of evacuated zones.
         revision: u64,
@@ -376,9 +376,9 @@
     },
     /// The agent stops a run without a request from its gateway.
     Stopping {
-        /// The run.
+        /// Run that is stopped.
         run: RunId,
-        /// Why it is being stopped.
+        /// Why the run is being stopped.
         reason: &'static str,
         /// Age of the latest echo of the owning gateway.
         echo_age: Span,
@@ -387,11 +387,11 @@
     },
     /// A run was not started, or ended other than by completing.
     Ended {
-        /// The run.
+        /// Run that was not started, or that ended.
         run: RunId,
-        /// How it ended.
+        /// Outcome of the run, as reported to the gateway.
         how: EndKind,
-        /// Evidence that it has ended.
+        /// Evidence that the run has ended.
         proof: EndProof,
     },
 }
--- a/laurelstile-core/src/leased/agent/heartbeats.rs
+++ b/laurelstile-core/src/leased/agent/heartbeats.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct SuccessorCandidate {
     pub(super) registration: Registration,
-    /// When it first registered.
+    /// When the incarnation first registered.
     pub(super) since: Timestamp,
 }
 
--- a/laurelstile-core/src/leased/agent/owner.rs
+++ b/laurelstile-core/src/leased/agent/owner.rs
@@ -51,7 +51,7 @@
 /// A gateway that has a session, runs or unacknowledged ends at this agent.
 #[derive(Debug)]
 pub struct Owner {
-    /// Its session, if one is open.
+    /// The gateway's session, if one is open.
     pub session: Option<SessionId>,
     /// When the latest session was opened.
     pub opened: Timestamp,
@@ -59,17 +59,18 @@
     pub echo: Timestamp,
     /// Number of the last start batch processed on this session.
     pub processed: u64,
-    /// When a message was last sent to it.
+    /// When a message was last sent to the gateway.
     pub last_sent: Timestamp,
     /// The last report sent on this session.
     pub last_report: Option<Report>,
-    /// When that report was sent.
+    /// When `last_report` was sent.
     pub reported: Timestamp,
     /// Since when the worker has had more free resources than the last report said.
     pub grown_since: Option<Timestamp>,
-    /// When it last requested a start.
+    /// When the gateway last requested a start; `None` if it has requested none.
     pub last_start_request: Option<Timestamp>,
-    /// Whether its session is about to be closed, so that it is reported no free resources.
+    /// Whether the session is about to be closed, so that the gateway is reported no free
+    /// resources.
     pub is_released: bool,
     /// Whether the current snapshot of the worker was sent on this session.
     pub has_snapshot: bool,
--- a/laurelstile-core/src/leased/agent/proof.rs
+++ b/laurelstile-core/src/leased/agent/proof.rs
@@ -3,19 +3,19 @@
 /// Why an agent considers a run ended: nothing of it executes any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndProof {
-    /// No start command for it was sent.
+    /// No start command for the run was sent.
     NotSent,
-    /// The worker rejected its start.
+    /// The worker rejected the start command.
     Rejected,
-    /// The worker lists it as ended.
+    /// The worker lists the run as ended.
     Listed,
-    /// The worker does not list it, in an answer to a watch sent after the last change of the
+    /// The worker does not list the run, in an answer to a watch sent after the last change of the
     /// run's state.
     Unlisted,
     /// The worker's process has ended: another incarnation answers, or connections are refused
     /// although the incarnation had not announced its shutdown.
     IncarnationEnded,
-    /// Its lease has expired on the worker's clock.
+    /// The run's lease has expired on the worker's clock.
     LeaseExpired,
 }
 
--- a/laurelstile-core/src/leased/agent/run_table.rs
+++ b/laurelstile-core/src/leased/agent/run_table.rs
@@ -17,43 +17,43 @@
 /// Why a run is being stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its gateway requested it.
+    /// The run's gateway requested the stop.
     Requested,
-    /// Its gateway is silent or has ended, or a newer run of the task was requested.
+    /// The run's gateway is silent or has ended, or a newer run of the task was requested.
     OwnerSilent,
-    /// It makes no progress.
+    /// The run makes no progress.
     Stalled,
-    /// It is much slower than estimated.
+    /// The run is much slower than estimated.
     TooSlow {
         /// Projected total run time.
         projected: Span,
     },
-    /// Its start was not answered.
+    /// The start command of the run was not answered.
     Unanswered,
     /// The agent is shutting down.
     AgentStops,
     /// The worker is shutting down.
     WorkerLeaves,
-    /// It was started for an earlier incarnation, with a lease on that incarnation's clock.
+    /// The run was started for an earlier incarnation, with a lease on that incarnation's clock.
     IncarnationChanged,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It waits at the agent for free resources.
+    /// The run waits at the agent for free resources.
     Waiting,
-    /// Its start was sent and is not answered yet.
+    /// The start command was sent and is not answered yet.
     Starting,
     Running {
-        /// When its start was confirmed.
+        /// When the start was confirmed.
         since: Timestamp,
     },
-    /// It is being stopped; its end is not confirmed yet.
+    /// The run is being stopped; its end is not confirmed yet.
     Stopping {
         reason: StopReason,
         /// When the stop began, or when it was restarted for another incarnation.
         since: Timestamp,
-        /// When the stop was answered.
+        /// When the worker answered the stop; `None` while it has not.
         answered: Option<Timestamp>,
     },
 }
@@ -62,18 +62,18 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     pub number: RunNumber,
-    /// Gateway on whose behalf it runs.
+    /// Gateway that requested the run.
     pub owner: Incarnation,
-    /// Resources that it takes.
+    /// Resources that the run takes at the worker.
     pub resources: Resources,
     /// Estimated run time.
     pub estimate: Span,
     pub input: JobInput,
-    /// Until when it may wait for free resources.
+    /// Until when the run may wait for free resources.
     pub wait_until: Timestamp,
-    /// When its start was sent.
+    /// When the start command was sent.
     pub sent: Timestamp,
-    /// Incarnation of the worker that its start was sent to.
+    /// Incarnation of the worker that the start command was sent to.
     pub incarnation: IncarnationNumber,
     /// Whether the worker has confirmed that it carried out the start.
     pub is_confirmed: bool,
@@ -85,13 +85,13 @@
     pub has_logged_overdue_stop: bool,
     /// Whether the worker must run nothing else meanwhile.
     pub is_exclusive: bool,
-    /// Whether its task has stalled on another worker.
+    /// Whether the task has stalled on another worker.
     pub has_stalled: bool,
     /// Progress in percent.
     pub percent: u32,
-    /// When it was started, on the worker's clock.
+    /// When the start was confirmed, on the worker's clock; zero before.
     pub started: WorkerClock,
-    /// When its progress last increased, on the worker's clock.
+    /// When the run's progress last increased, on the worker's clock.
     pub progressed: WorkerClock,
 }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Whether its start was sent but not confirmed, so that the worker may still carry it out.
+    /// Whether the start was sent but not confirmed, so that the worker may still carry it out.
     pub fn is_unconfirmed(&self) -> bool {
         self.takes_resources() && !self.is_confirmed
     }
@@ -112,7 +112,7 @@
         self.state != RunState::Waiting
     }
 
-    /// Whether its stop takes longer than a stop may.
+    /// Whether the run is being stopped for longer than `MAX_STOP_TIME`.
     pub fn is_stop_overdue(&self, now: Timestamp) -> bool {
         match self.state {
             RunState::Stopping { since, .. } => now.since(since) > MAX_STOP_TIME,
--- a/laurelstile-core/src/leased/agent/watching.rs
+++ b/laurelstile-core/src/leased/agent/watching.rs
@@ -232,7 +232,8 @@
         }
         self.runs.confirm(id);
         if incarnation != self.incarnation_number {
-            // Its lease was set on the clock of the previous incarnation and may last too long.
+            // The lease of the run was set on the previous incarnation's clock and may last too
+            // long.
             self.stop_run(now, id.task, StopReason::IncarnationChanged, effects);
             return;
         }
--- a/laurelstile-core/src/leased/agent/worker.rs
+++ b/laurelstile-core/src/leased/agent/worker.rs
@@ -34,10 +34,10 @@
 /// What a worker reports when it registers and with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Incarnation of the worker that sent it.
+    /// Incarnation of the worker that sent the registration.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
-    /// Name of the service that it serves.
+    /// Name of the service that the worker serves.
     pub service: String,
     /// Total capacity.
     pub capacity: Resources,
@@ -45,7 +45,7 @@
     pub labels: Vec<String>,
     /// Reading of the worker's clock.
     pub clock: WorkerClock,
-    /// Whether it is to get no more tasks.
+    /// Whether the worker is to get no more tasks.
     pub draining: bool,
     /// Rises with each heartbeat of an incarnation, so that delayed ones are recognized; 0 if
     /// the worker does not count them.
@@ -66,13 +66,13 @@
 /// How a worker reports that a run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerEndKind {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped by a command.
+    /// The run was stopped by a command.
     Stopped,
-    /// Its lease expired, or it was aborted for another reason.
+    /// The lease of the run expired, or the run was aborted for another reason.
     Expired,
 }
 
@@ -81,9 +81,9 @@
 pub struct WorkerEnd {
     /// Number of the entry, rising within an incarnation.
     pub number: u64,
-    /// The run.
+    /// Run that ended.
     pub run: RunId,
-    /// How it ended.
+    /// Outcome of the run, as the worker reports it.
     pub how: WorkerEndKind,
 }
 
--- a/laurelstile-core/src/leased/agent/worker_state.rs
+++ b/laurelstile-core/src/leased/agent/worker_state.rs
@@ -25,7 +25,7 @@
 pub struct WorkerState {
     pub incarnation: WorkerIncarnation,
     pub number: IncarnationNumber,
-    /// How the agent learned of it.
+    /// How the agent learned of the incarnation.
     pub source: IncarnationSource,
     pub service: String,
     /// When a heartbeat last named this service.
@@ -43,7 +43,7 @@
     pub token: FenceToken,
     /// Number of commands rejected as fenced.
     pub fenced: u32,
-    /// Whether it has announced its shutdown.
+    /// Whether the incarnation has announced its shutdown.
     pub draining: bool,
     pub clock: ClockEstimate,
     /// Highest entry number of an ended run that was processed.
@@ -55,7 +55,7 @@
     /// Whether this incarnation's run lists have been received. Reset when a silent worker's
     /// lease expires, and after a suspension of the agent.
     pub has_synced: bool,
-    /// Whether taking control of it has been logged.
+    /// Whether the agent has logged that it took control of the incarnation.
     pub has_logged_control: bool,
     /// Consecutive watches without an answer.
     pub unanswered_watches: u32,
@@ -73,15 +73,15 @@
     /// Started tasks whose lease has expired since the worker last answered a watch. The worker
     /// has crashed, is unreachable or is shutting down.
     pub expired_tasks: Vec<CrashedTask>,
-    /// Another incarnation that has registered since.
+    /// Another incarnation that has registered while this one was current.
     pub successor: Option<SuccessorCandidate>,
-    /// A pending deregistration under its id.
+    /// A pending deregistration under the incarnation's id.
     pub deregistration: Option<Deregistration>,
 }
 
 impl WorkerState {
-    /// Whether it is about to exit. Its process may stop listening and continue to run for a
-    /// while.
+    /// Whether the worker is about to exit. Its process may stop listening and continue to run
+    /// for a while.
     pub fn is_leaving(&self) -> bool {
         self.draining || self.deregistration.is_some()
     }
--- a/laurelstile-core/src/leased/crashes.rs
+++ b/laurelstile-core/src/leased/crashes.rs
@@ -44,7 +44,7 @@
 }
 
 impl WorkerCrash {
-    /// The same crash, restricted to the tasks that `selects` selects; `None` if there are none.
+    /// A copy with only the tasks for which `selects` returns `true`; `None` if there are none.
     pub fn restricted_to(&self, selects: impl Fn(TaskId) -> bool) -> Option<Self> {
         let tasks = self.tasks.iter().filter(|crashed| selects(crashed.task));
         let tasks: Vec<CrashedTask> = tasks.copied().collect();
@@ -59,7 +59,7 @@
 /// A task that was running on a worker when it crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashedTask {
-    /// The task.
+    /// Id of the task, with the job, the repetition and the step that the task belongs to.
     #[serde(rename = "t")]
     pub task: TaskId,
     /// Whether the worker crashed soon after the task's start, relative to the task's estimated
--- a/laurelstile-core/src/leased/gateway/candidate.rs
+++ b/laurelstile-core/src/leased/gateway/candidate.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The same worker, restricted to the separately placed task `index`.
+    /// Restricts the candidate to one task, the separately placed task `index`.
     pub(super) fn with_separated(self, index: u32) -> Self {
         Self {
             tasks: 1,
--- a/laurelstile-core/src/leased/gateway/on_time_rates.rs
+++ b/laurelstile-core/src/leased/gateway/on_time_rates.rs
@@ -20,11 +20,11 @@
 /// Size of a job relative to other jobs of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SizeGroup {
-    /// The smallest 70% of jobs.
+    /// A job among the smallest 70% of its queue.
     Ordinary,
-    /// The next 20%.
+    /// A job larger than 70% of its queue, but not among the largest 10%.
     Large,
-    /// The largest 10%.
+    /// A job among the largest 10% of its queue.
     Largest,
 }
 
--- a/laurelstile-core/src/leased/gateway/queues.rs
+++ b/laurelstile-core/src/leased/gateway/queues.rs
@@ -15,7 +15,7 @@
     pub queues: Vec<Arc<QueueSettings>>,
 }
 
-/// Settings of a queue.
+/// Which requests a queue takes, and how its jobs are run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueSettings {
     /// Name of the queue, unique in the configuration.
--- a/laurelstile-core/src/leased/membership/anti_entropy.rs
+++ b/laurelstile-core/src/leased/membership/anti_entropy.rs
@@ -19,7 +19,7 @@
 /// A request that has not been answered after this time is abandoned for the next neighbor.
 const REQUEST_TIMEOUT: Span = Span::from_millis(500);
 
-/// What is known of a neighbor's directory.
+/// Digests exchanged with a neighbor, by which its directory is compared with this gateway's.
 #[derive(Debug, Default)]
 struct Neighbor {
     /// The digest that was last sent to the neighbor.
--- a/laurelstile-core/src/leased/messages.rs
+++ b/laurelstile-core/src/leased/messages.rs
@@ -334,7 +334,8 @@
         #[serde(rename = "p")]
         projected_millis: u32,
     },
-    /// The worker died, or its lease expired.
+    /// The worker's process ended, or the run was aborted without a request from the agent, as
+    /// when the run's lease expired.
     #[serde(rename = "l")]
     Lost,
     /// The run never started.
@@ -378,8 +379,8 @@
     /// The echo of the start's message is too old.
     #[serde(rename = "e")]
     StaleSender,
-    /// The worker is draining, dead, not yet controlled by the agent, on probation, or at its limit
-    /// of tasks.
+    /// The agent is shutting down, or the worker is draining, evacuated, silent, not yet controlled
+    /// by the agent, on probation or at its limit of tasks, or has ended.
     #[serde(rename = "u")]
     Unavailable,
     /// The required resources were not free, or did not become free within the time that the batch
@@ -421,7 +422,7 @@
     /// Hash of the candidates among the gateways that the agent knows.
     #[serde(rename = "k")]
     pub digest: u64,
-    /// Number of these candidates.
+    /// Number of candidates that `digest` covers.
     #[serde(rename = "n")]
     pub count: usize,
 }
--- a/laurelstile-core/src/leased/resources.rs
+++ b/laurelstile-core/src/leased/resources.rs
@@ -40,7 +40,7 @@
             .min(count(self.gpus, free.gpus))
     }
 
-    /// These amounts `count` times, saturating.
+    /// Each amount multiplied by `count`; saturates at `u32::MAX`.
     pub fn multiplied_by(self, count: u32) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_mul(count),
--- a/laurelstile-core/src/messages/agent.rs
+++ b/laurelstile-core/src/messages/agent.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// A task to start.
+/// A request of a gateway that the agent run a task on its back end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StartTask {
     /// Identifier of the dispatch, reported back with the result.
@@ -225,7 +225,7 @@
 /// Status of a dispatch at its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchStatus {
-    /// Not started, and no longer able to arrive: its session is closed.
+    /// Not started; the dispatch can no longer arrive, since its session is closed.
     NeverReceived,
     /// Started and still running.
     Running,
--- a/laurelstile-core/src/messages/peer.rs
+++ b/laurelstile-core/src/messages/peer.rs
@@ -92,7 +92,7 @@
     pub input: Payload,
 }
 
-/// The end of a delegation.
+/// Outcome of a delegated job, for the entry gateway that delegated it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DelegationEnd {
     /// Identifier of the delegation.
--- a/laurelstile-core/tests/leased_support/agent_rig.rs
+++ b/laurelstile-core/tests/leased_support/agent_rig.rs
@@ -91,7 +91,7 @@
         Self::with_heartbeats(RARE_HEARTBEATS)
     }
 
-    /// As [`Self::new`], with these heartbeat times.
+    /// As [`Self::new`], with the given heartbeat times.
     pub fn with_heartbeats(heartbeats: HeartbeatTiming) -> Self {
         let options = AgentOptions {
             zone: "here".into(),
@@ -366,7 +366,7 @@
         );
     }
 
-    /// A start times out.
+    /// Reports that the worker did not answer the start of `run` in time.
     pub fn time_out_start(&mut self, now: Timestamp, run: RunId) {
         self.event(
             now,
--- a/laurelstile-types/src/api.rs
+++ b/laurelstile-types/src/api.rs
@@ -100,7 +100,7 @@
     pub expected_head: Option<u64>,
 }
 
-/// An accepted change.
+/// Answer to an accepted change request.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ChangeAccepted {
     /// Number of the revision that the change created.
--- a/laurelstile-types/src/configuration.rs
+++ b/laurelstile-types/src/configuration.rs
@@ -48,17 +48,17 @@
 pub struct Backend {
     /// Name of the back end.
     pub name: BackendName,
-    /// Address of its agent, `IP:port`.
+    /// Address of the back end's agent, `IP:port`.
     pub agent: std::net::SocketAddr,
     /// Zone of the back end.
     pub zone: ZoneName,
     /// Rack of the back end.
     pub rack: RackName,
-    /// Number of tasks that it runs at once.
+    /// Number of tasks that the back end runs at once.
     pub slots: u32,
 }
 
-/// A service.
+/// A service that callers submit jobs to, with the pool that runs its tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
--- a/laurelstile-types/src/id.rs
+++ b/laurelstile-types/src/id.rs
@@ -49,7 +49,7 @@
     PoolName
 }
 name_type! {
-    /// Name of a service.
+    /// Name of a service, as callers give it when they submit a job.
     ServiceName
 }
 name_type! {
@@ -61,11 +61,11 @@
     TenantName
 }
 name_type! {
-    /// Name of a zone.
+    /// Name of a zone. A gateway prefers agents of its own zone among otherwise equal ones.
     ZoneName
 }
 name_type! {
-    /// Name of a rack.
+    /// Name of the rack that holds a back end.
     RackName
 }
 name_type! {
--- a/laurelstile-types/src/json.rs
+++ b/laurelstile-types/src/json.rs
@@ -23,7 +23,7 @@
     Malformed {
         /// Path of the field within the file.
         place: String,
-        /// What is wrong with the field.
+        /// The parser's error for the field.
         reason: serde_json::Error,
         /// Text of the file, for the report.
         #[source_code]
--- a/laurelstile-types/src/outcome.rs
+++ b/laurelstile-types/src/outcome.rs
@@ -42,7 +42,7 @@
     /// The platform's table cannot be reached to claim the key.
     #[error("the idempotency key cannot be claimed now")]
     ClaimUnavailable,
-    /// This gateway is stopping.
+    /// This gateway is shutting down and accepts no more jobs.
     #[error("this gateway is stopping")]
     GatewayStopping,
     /// The gateway has no configuration yet.
--- a/laurelstile-types/src/platform.rs
+++ b/laurelstile-types/src/platform.rs
@@ -5,7 +5,7 @@
 
 use crate::id::ZoneName;
 
-/// Key of a row.
+/// Key of a row, unique in the platform's table.
 pub type RowKey = String;
 
 /// A row of the table: an opaque JSON value under a key.
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineRole {
-    /// A gateway.
+    /// A gateway, which other gateways open sessions to.
     Gateway,
     /// A back end with its agent.
     Backend,
@@ -74,7 +74,7 @@
 pub struct Machine {
     /// Name of the gateway or back end.
     pub name: String,
-    /// The kind of process that it runs.
+    /// The kind of process that the machine runs.
     pub role: MachineRole,
     /// Address where the gateway or the agent accepts sessions.
     pub address: String,
--- a/laurelstile-wire/src/hello.rs
+++ b/laurelstile-wire/src/hello.rs
@@ -51,9 +51,9 @@
 /// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeRole {
-    /// A gateway.
+    /// Accepts jobs and dispatches their tasks.
     Gateway,
-    /// An agent.
+    /// Runs tasks on one back end or controls one worker.
     Agent,
 }
 
--- a/laurelstile-wire/src/traffic.rs
+++ b/laurelstile-wire/src/traffic.rs
@@ -31,7 +31,7 @@
 pub struct MessageCount {
     /// Number of messages.
     pub messages: u64,
-    /// Their total size in bytes, including frame headers.
+    /// Total size of the messages in bytes, including frame headers.
     pub bytes: u64,
 }
 
--- a/laurelstiled/src/agent/driver.rs
+++ b/laurelstiled/src/agent/driver.rs
@@ -24,7 +24,7 @@
 /// Maximum number of inputs handled before the state machine is flushed.
 const MAX_INPUT_BATCH: usize = 256;
 
-/// Input of the driver.
+/// Input of the agent's driver, from sessions and the back end.
 #[derive(Debug)]
 pub enum DriverInput {
     /// A gateway has opened a session.
@@ -43,7 +43,7 @@
     },
     /// A gateway has sent a message.
     Message {
-        /// Session on which it was received.
+        /// Session on which the message was received.
         session: SessionId,
         /// The message as received.
         message: ToAgent,
--- a/laurelstiled/src/gateway/input.rs
+++ b/laurelstiled/src/gateway/input.rs
@@ -8,7 +8,7 @@
 use laurelstile_types::revision::Revision;
 use tokio::sync::{mpsc, oneshot};
 
-/// Input of the driver.
+/// Input of the gateway's driver, from the HTTP API and background tasks.
 #[derive(Debug)]
 pub enum DriverInput {
     /// An event for the state machine.
--- a/laurelstiled/src/leased/decisions.rs
+++ b/laurelstiled/src/leased/decisions.rs
@@ -27,7 +27,7 @@
 /// Maximum number of lost runs named in the line about the end of a worker incarnation, which
 /// bounds the length of the line.
 const MAX_NAMED_RUNS: usize = 40;
-/// Period of the rate limit.
+/// Period after which the line counts of the rate limit start again from zero.
 const RATE_LIMIT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Rate-limited log of decisions.
--- a/laurelstiled/src/leased/gateway.rs
+++ b/laurelstiled/src/leased/gateway.rs
@@ -41,7 +41,7 @@
 const ANSWER_FLUSH_DELAY: Duration = Duration::from_millis(200);
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A running gateway.
+/// A gateway started by [`start`].
 pub struct RunningGateway {
     /// Handle through which the front end submits and cancels jobs.
     pub handle: GatewayHandle,
--- a/laurelstiled/src/leased/settings.rs
+++ b/laurelstiled/src/leased/settings.rs
@@ -52,7 +52,7 @@
     Agent(LeasedAgentSettings),
 }
 
-/// Settings of a gateway.
+/// Settings of a process whose role is gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasedGatewaySettings {
@@ -66,7 +66,7 @@
     pub grace_seconds: f64,
 }
 
-/// Settings of an agent.
+/// Settings of a process whose role is agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeasedAgentSettings {
--- a/laurelstiled/src/settings.rs
+++ b/laurelstiled/src/settings.rs
@@ -53,7 +53,7 @@
     Agent(AgentSettings),
 }
 
-/// Settings of a gateway.
+/// Settings of a process whose role is gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
@@ -89,11 +89,11 @@
 pub struct PeerSettings {
     /// Name of the gateway.
     pub name: String,
-    /// Address on which it accepts sessions of other gateways.
+    /// Address on which the gateway accepts sessions of other gateways.
     pub address: SocketAddr,
 }
 
-/// Settings of an agent.
+/// Settings of a process whose role is agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
@@ -143,7 +143,7 @@
         /// Value from the settings.
         value: String,
     },
-    /// An interval is zero.
+    /// An interval in milliseconds is zero.
     #[error("{field}: must be at least 1")]
     ZeroInterval {
         /// Path of the field in the settings.
