--- a/laurelstile-core/src/leased/agent/run_table.rs
+++ b/laurelstile-core/src/leased/agent/run_table.rs
@@ -71,7 +71,7 @@
     pub input: JobInput,
     /// Until when the run may wait for free resources.
     pub wait_until: Timestamp,
-    /// When the start command was sent.
+    /// When the start command was sent; until then, when the request for the run arrived.
     pub sent: Timestamp,
     /// Incarnation of the worker that the start command was sent to.
     pub incarnation: IncarnationNumber,
